--- a/cmd/cloverrail/fixture_test.go
+++ b/cmd/cloverrail/fixture_test.go
@@ -25,62 +25,62 @@
 	host  = "shop.example"
 	key   = "key-of-one"
 	model = "m"
-	// limitedKey is held by a tenant that may send 20 requests a second, and 5 at once.
+	// limitedKey belongs to a tenant that is limited to 20 requests per second with a burst of 5.
 	limitedKey = "key-of-three"
 )
 
-// eventually is how long a test waits for what must come; none waits that long.
-const eventually = 20 * time.Second
+// waitTimeout bounds each wait for a condition. No passing test waits that long.
+const waitTimeout = 20 * time.Second
 
-// fixture is a proxy between a client and stand-ins of the platform.
+// fixture runs a proxy between a client and stand-ins for the platform.
 type fixture struct {
 	t        testing.TB
 	store    *standin.Store
 	process  *process
-	front    *httptest.Server
+	frontend *httptest.Server
 	requests atomic.Int64
 	version  int64
-	// kill ends the node as far as others can tell.
+	// kill stops the node as seen from other nodes.
 	kill func()
-	// ways are the node's to the store and the others' to the node; cutOff says that it
-	// does not reach others either.
-	ways   []*faultwire.Wire
-	cutOff atomic.Bool
+	// links are the connections from the node to the store and from other nodes to it. isolated
+	// cuts the node's own calls to other nodes.
+	links    []*faultwire.Wire
+	isolated atomic.Bool
 }
 
-// cut takes the node's ways to the store and to other nodes, or gives them back.
-func (fixture *fixture) cut(off bool) {
+// setIsolated cuts or restores the node's connections to the store and to other nodes.
+func (fixture *fixture) setIsolated(isolated bool) {
 	mode := faultwire.Sound
-	if off {
+	if isolated {
 		mode = faultwire.Reset
 	}
-	for _, way := range fixture.ways {
-		way.Set(mode)
+	for _, link := range fixture.links {
+		link.Set(mode)
 	}
-	fixture.cutOff.Store(off)
+	fixture.isolated.Store(isolated)
 }
 
-var errCutOff = errors.New("the node is cut off")
+var errIsolated = errors.New("the node is cut off")
 
-// RoundTrip calls other nodes, unless the node is cut off.
+// RoundTrip calls other nodes, unless the node is isolated.
 func (fixture *fixture) RoundTrip(request *http.Request) (*http.Response, error) {
-	if fixture.cutOff.Load() {
-		return nil, errCutOff
+	if fixture.isolated.Load() {
+		return nil, errIsolated
 	}
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// way returns a wire to an address.
-func (fixture *fixture) way(address string) string {
+// newLink returns the address of a fault-injecting link to an address.
+func (fixture *fixture) newLink(address string) string {
 	wire, err := faultwire.New(address)
 	require.NoError(fixture.t, err)
-	fixture.ways = append(fixture.ways, wire)
+	fixture.links = append(fixture.links, wire)
 	return wire.Address()
 }
 
-const keptAddress = "127.0.0.1:9"
+const prefixStoreAddress = "127.0.0.1:9"
 
-func declared(version int64, keys ...string) standin.Document {
+func newDocument(version int64, keys ...string) standin.Document {
 	return standin.Document{
 		Version: version,
 		Routes: []standin.Route{
@@ -94,7 +94,7 @@
 		Services: []standin.Service{
 			{Name: "plain"},
 			{Name: "engines", Engine: &standin.Engine{Slots: 8, CapacityTokens: 100_000, TokenBytes: 1000, LinkMegabits: 1e6}},
-			{Name: "kept", StoreAddress: keptAddress, Capacity: 1_000_000},
+			{Name: "kept", StoreAddress: prefixStoreAddress, Capacity: 1_000_000},
 		},
 		Limits: standin.Limits{MaxHeaderBytes: 4096, MaxBodyBytes: 1000},
 		Tenants: []standin.Tenant{
@@ -105,14 +105,14 @@
 	}
 }
 
-// newFixture starts a proxy whose bounds are short, so that tests are. The
-// declaration is not there yet.
+// newFixture starts a proxy with short bounds, which keep tests short. The store holds no
+// declaration yet.
 func newFixture(t testing.TB) *fixture {
 	store, address := newStore(t)
 	return newNode(t, store, address, "node")
 }
 
-// newStore starts a stand-in of the platform's store.
+// newStore starts a stand-in for the platform's store.
 func newStore(t testing.TB) (store *standin.Store, address string) {
 	store = standin.NewStore()
 	server := httptest.NewServer(store)
@@ -120,24 +120,24 @@
 	return store, server.Listener.Addr().String()
 }
 
-// newNode starts one node of a fleet, with its peer address open.
+// newNode starts one node of a fleet and serves its peer address.
 func newNode(t testing.TB, store *standin.Store, storeAddress, name string) *fixture {
 	fixture := &fixture{t: t, store: store}
 	peers := httptest.NewUnstartedServer(nil)
-	given := settings.ProxyDefaults()
-	given.Name, given.Zone = name, "a"
-	given.Zones = map[string]string{"a": "r", "b": "r"}
-	given.StoreAddress = fixture.way(storeAddress)
-	given.PeerAddress = fixture.way(peers.Listener.Addr().String())
-	given.StoreLeastLease = 500 * time.Millisecond
-	given.Heartbeat = 300 * time.Millisecond
-	given.Bounds.Configuration = 250 * time.Millisecond
-	given.Bounds.Revocation = 2 * time.Second
-	given.Bounds.HolderChange = time.Second
-	given.Bounds.RetryExtra = 1e6
-	given.LogLevel = "error"
+	config := settings.ProxyDefaults()
+	config.Name, config.Zone = name, "a"
+	config.Zones = map[string]string{"a": "r", "b": "r"}
+	config.StoreAddress = fixture.newLink(storeAddress)
+	config.PeerAddress = fixture.newLink(peers.Listener.Addr().String())
+	config.MinStoreLease = 500 * time.Millisecond
+	config.Heartbeat = 300 * time.Millisecond
+	config.Bounds.Configuration = 250 * time.Millisecond
+	config.Bounds.Revocation = 2 * time.Second
+	config.Bounds.LeaderHandover = time.Second
+	config.Bounds.RetryExtra = 1e6
+	config.LogLevel = "error"
 	var err error
-	fixture.process, err = newProcess(given)
+	fixture.process, err = newProcess(config)
 	require.NoError(t, err)
 	fixture.process.peers.Transport = fixture
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,29 +149,29 @@
 	peers.Config.Handler = fixture.process.peerHandler()
 	peers.Start()
 	go fixture.process.reflector.Run(ctx)
-	fixture.process.keep(ctx)
-	fixture.front = httptest.NewServer(&platform.Ingress{Proxy: fixture.process.proxy, Stopping: fixture.process.stopping.Load})
-	t.Cleanup(fixture.front.Close)
+	fixture.process.runBackgroundTasks(ctx)
+	fixture.frontend = httptest.NewServer(&platform.Ingress{Proxy: fixture.process.proxy, Stopping: fixture.process.stopping.Load})
+	t.Cleanup(fixture.frontend.Close)
 	return fixture
 }
 
-// serve starts servers and waits until the proxy knows them and the declaration.
+// serve starts servers and waits until the proxy has read them and the declaration.
 func (fixture *fixture) serve(servers ...*standin.Server) *fixture {
 	for _, server := range servers {
-		fixture.add(server)
+		fixture.addServer(server)
 	}
 	fixture.declare(key)
-	fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == len(servers) })
+	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == len(servers) })
 	return fixture
 }
 
-func (fixture *fixture) add(server *standin.Server) {
+func (fixture *fixture) addServer(server *standin.Server) {
 	listener := httptest.NewServer(server)
 	fixture.t.Cleanup(listener.Close)
-	fixture.list(server, listener.Listener.Addr().String(), "ready")
+	fixture.registerServer(server, listener.Listener.Addr().String(), "ready")
 }
 
-func (fixture *fixture) list(server *standin.Server, address, state string) {
+func (fixture *fixture) registerServer(server *standin.Server, address, state string) {
 	service := "plain"
 	if server.Model != "" {
 		service = "engines"
@@ -179,20 +179,20 @@
 	fixture.store.Put(standin.PrefixServers+server.Instance, server.Entry(service, address, "a", state))
 }
 
-// declare puts a newer declaration, in which tenant one holds the keys.
+// declare writes a newer declaration with the keys of tenant one, and waits until it is in force.
 func (fixture *fixture) declare(keys ...string) {
 	fixture.version++
 	version := fixture.version
-	fixture.store.Put(standin.KeyConfiguration, declared(version, keys...))
-	fixture.until(func() bool {
-		belief := fixture.process.belief.Load()
+	fixture.store.Put(standin.KeyConfiguration, newDocument(version, keys...))
+	fixture.waitUntil(func() bool {
+		belief := fixture.process.replica.Load()
 		return belief != nil && belief.Snapshot != nil && belief.Snapshot.Version >= version
 	})
 }
 
-// known returns what the proxy believes of a listed server.
-func (fixture *fixture) known(instance string) (backend.Server, bool) {
-	for _, server := range fixture.process.set.Servers(time.Now()) {
+// listedServer returns a server from the proxy's list.
+func (fixture *fixture) listedServer(instance string) (backend.Server, bool) {
+	for _, server := range fixture.process.serverSet.Servers(time.Now()) {
 		if server.Instance == instance {
 			return server, true
 		}
@@ -200,13 +200,13 @@
 	return backend.Server{}, false
 }
 
-func (fixture *fixture) until(condition func() bool) {
+func (fixture *fixture) waitUntil(condition func() bool) {
 	fixture.t.Helper()
-	require.Eventually(fixture.t, condition, eventually, 5*time.Millisecond)
+	require.Eventually(fixture.t, condition, waitTimeout, 5*time.Millisecond)
 }
 
-// answer is what the client got.
-type answer struct {
+// clientResult is what the client received.
+type clientResult struct {
 	status int
 	header http.Header
 	closes bool
@@ -214,9 +214,9 @@
 	err    error
 }
 
-// send sends a request with the usual headers; change alters it.
-func (fixture *fixture) send(method, path, body string, change func(*http.Request)) answer {
-	request, err := http.NewRequest(method, fixture.front.URL+path, strings.NewReader(body))
+// send sends a request with the usual headers; change may modify it first.
+func (fixture *fixture) send(method, path, body string, change func(*http.Request)) clientResult {
+	request, err := http.NewRequest(method, fixture.frontend.URL+path, strings.NewReader(body))
 	require.NoError(fixture.t, err)
 	request.Host = host
 	request.Header.Set(standin.HeaderRequestID, fmt.Sprint("request-", fixture.requests.Add(1)))
@@ -227,15 +227,15 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return clientResult{err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, closes: response.Close, body: string(data), err: err}
+	return clientResult{status: response.StatusCode, header: response.Header, closes: response.Close, body: string(data), err: err}
 }
 
-// prompt adds what a request tells of its prompt.
-func prompt(request *http.Request) {
+// setPromptHeaders adds the headers that describe a prompt.
+func setPromptHeaders(request *http.Request) {
 	request.Header.Set(standin.HeaderModel, model)
 	request.Header.Set(standin.HeaderTokenCount, "1460,80")
 	request.Header.Set(standin.HeaderPromptPrefix, "5c1e:800,91bd:410,e440:250")
@@ -249,8 +249,8 @@
 	return standin.NewServer(instance, model, 1, manner)
 }
 
-// events is the text of a stream's events.
-func events(last int) string {
+// eventText returns the text of a stream's events with the ids 1 to last.
+func eventText(last int) string {
 	text := strings.Builder{}
 	for id := range last {
 		fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", id+1, id+1)
--- a/cmd/cloverrail/fleet_test.go
+++ b/cmd/cloverrail/fleet_test.go
@@ -13,57 +13,57 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// fleetFixture is a number of nodes before machines on which a deadly body ends the server that
-// runs it, if it comes from one tenant on one path.
+// fleetFixture runs nodes in front of machines on which a request with a crashing body, from one
+// tenant and on one path, crashes the server that runs it.
 type fleetFixture struct {
 	t            *testing.T
 	store        *standin.Store
 	storeAddress string
 	nodes        []*fixture
-	// living counts the nodes that were not killed.
-	living   int
+	// running counts the nodes that were not killed.
+	running  int
 	machines []*standin.Machine
 }
 
-// newFleet starts nodes and, for each of the two services, a number of machines.
+// newFleet starts nodes, and a number of machines for each of the two services.
 func newFleet(t *testing.T, nodes, machines int) *fleetFixture {
 	f := &fleetFixture{t: t}
 	f.store, f.storeAddress = newStore(t)
 	for i := range machines {
-		f.start(&standin.Machine{Name: fmt.Sprint("p", i), Service: "plain", Manner: standin.Answers(http.StatusOK, "done")})
-		f.start(&standin.Machine{Name: fmt.Sprint("e", i), Service: "engines", Model: model, Manner: standin.Streams(3, 0)})
+		f.startMachine(&standin.Machine{Name: fmt.Sprint("p", i), Service: "plain", Manner: standin.Answers(http.StatusOK, "done")})
+		f.startMachine(&standin.Machine{Name: fmt.Sprint("e", i), Service: "engines", Model: model, Manner: standin.Streams(3, 0)})
 	}
 	for range nodes {
-		f.join()
+		f.addNode()
 	}
-	f.store.Put(standin.KeyConfiguration, declared(1, key))
+	f.store.Put(standin.KeyConfiguration, newDocument(1, key))
 	for _, n := range f.nodes {
-		f.await(n)
+		f.awaitReady(n)
 	}
 	return f
 }
 
-// join starts one more node.
-func (f *fleetFixture) join() *fixture {
+// addNode starts one more node.
+func (f *fleetFixture) addNode() *fixture {
 	n := newNode(f.t, f.store, f.storeAddress, fmt.Sprint("node-", len(f.nodes)))
 	f.nodes = append(f.nodes, n)
-	f.living++
+	f.running++
 	return n
 }
 
-// await waits until a node is ready, as the platform does before it sends callers there, has its
-// place in the fleet and knows all servers.
-func (f *fleetFixture) await(n *fixture) {
-	n.until(func() bool {
-		return n.process.proxy.Ready(boottime.Now()) && n.process.registry.Settled() &&
-			n.process.registry.Nodes() >= f.living && len(n.process.set.Servers(time.Now())) >= len(f.machines)
+// awaitReady waits until a node is ready, as the platform does before it sends clients there, has
+// bootstrapped its rank in the fleet and knows all servers.
+func (f *fleetFixture) awaitReady(n *fixture) {
+	n.waitUntil(func() bool {
+		return n.process.proxy.Ready(boottime.Now()) && n.process.registry.Bootstrapped() &&
+			n.process.registry.Nodes() >= f.running && len(n.process.serverSet.Servers(time.Now())) >= len(f.machines)
 	})
 }
 
-func (f *fleetFixture) start(m *standin.Machine) {
+func (f *fleetFixture) startMachine(m *standin.Machine) {
 	m.Zone, m.After, m.Down = "a", 20*time.Millisecond, 400*time.Millisecond
 	m.Deadly = func(r *http.Request, body []byte) bool {
-		return strings.HasPrefix(string(body), deadly) && strings.HasSuffix(r.URL.Path, "/x") && r.Header.Get(standin.HeaderTenant) == "one"
+		return strings.HasPrefix(string(body), crashingBody) && strings.HasSuffix(r.URL.Path, "/x") && r.Header.Get(standin.HeaderTenant) == "one"
 	}
 	require.NoError(f.t, m.Start(f.store))
 	f.t.Cleanup(m.Stop)
--- a/cmd/cloverrail/herd_test.go
+++ b/cmd/cloverrail/herd_test.go
@@ -11,60 +11,61 @@
 )
 
 const (
-	// herdWindow and herdMost bound what one node sends to a server that it only probes: so many
-	// requests within a window from the first one on.
-	herdWindow = 50 * time.Millisecond
-	herdMost   = 2
-	// burst is how many requests are placed at one moment.
-	burst = 60
+	// A node may send at most maxProbes requests within probeWindow of the first one to a server
+	// that it only probes.
+	probeWindow = 50 * time.Millisecond
+	maxProbes   = 2
+	// burstSize is the number of requests that are sent concurrently.
+	burstSize = 60
 )
 
-// slowly answers as a sound server once a window is over.
-func slowly(c call) standin.Manner {
+// succeedsAfterWindow responds as a healthy server does, but only after probeWindow.
+func succeedsAfterWindow(c routeCall) standin.Manner {
 	return func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
-		time.Sleep(herdWindow + 10*time.Millisecond)
-		soundly(c)(server, w, r)
+		time.Sleep(probeWindow + 10*time.Millisecond)
+		succeeds(c)(server, w, r)
 	}
 }
 
-// togetherAfter returns how many arrivals a window holds from the first one after a moment on.
-func togetherAfter(server *standin.Server, moment time.Time) int {
-	first, together := time.Time{}, 0
+// arrivalsInFirstWindow returns the number of arrivals within probeWindow of the first one at or
+// after start.
+func arrivalsInFirstWindow(server *standin.Server, start time.Time) int {
+	first, count := time.Time{}, 0
 	for _, arrival := range server.Arrivals() {
-		if arrival.At.Before(moment) {
+		if arrival.At.Before(start) {
 			continue
 		}
 		if first.IsZero() {
 			first = arrival.At
 		}
-		if arrival.At.Sub(first) < herdWindow {
-			together++
+		if arrival.At.Sub(first) < probeWindow {
+			count++
 		}
 	}
-	return together
+	return count
 }
 
-// Guards against a herd at the end of a server's backoff: requests that are placed at one moment
-// must not all see it unprobed.
+// Guards against a thundering herd at the end of a server's backoff: of requests that are placed
+// concurrently, only one may probe the server.
 func TestBackoffEndAdmitsOneProbe(t *testing.T) {
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tired := instanceOf(c, "i-1", soundly(c))
-			fixture := newFixture(t).serve(tired)
+			server := newInstance(c, "i-1", succeeds(c))
+			fixture := newFixture(t).serve(server)
 			for round := range 2 {
-				tired.SetManner(standin.Rests("0.3"))
-				fixture.reach(c, tired)
-				arrivals := tired.Arrivals()
-				rested := arrivals[len(arrivals)-1].At
-				tired.SetManner(slowly(c))
-				fixture.until(func() bool {
-					fixture.makeMany(c, burst)
-					arrivals := tired.Arrivals()
-					return arrivals[len(arrivals)-1].At.After(rested.Add(time.Millisecond))
+				server.SetManner(standin.Rests("0.3"))
+				fixture.requestUntilReached(c, server)
+				arrivals := server.Arrivals()
+				backoffStart := arrivals[len(arrivals)-1].At
+				server.SetManner(succeedsAfterWindow(c))
+				fixture.waitUntil(func() bool {
+					fixture.makeMany(c, burstSize)
+					arrivals := server.Arrivals()
+					return arrivals[len(arrivals)-1].At.After(backoffStart.Add(time.Millisecond))
 				})
-				require.LessOrEqual(t, togetherAfter(tired, rested.Add(time.Millisecond)), herdMost, "round %d", round)
-				fixture.until(func() bool {
+				require.LessOrEqual(t, arrivalsInFirstWindow(server, backoffStart.Add(time.Millisecond)), maxProbes, "round %d", round)
+				fixture.waitUntil(func() bool {
 					for _, got := range fixture.makeMany(c, 8) {
 						if got.status != http.StatusOK {
 							return false
@@ -77,20 +78,20 @@
 	}
 }
 
-// Guards against a herd on a server that goes on to fail beside one that is sound again.
-func TestServerThatFailsBesideASoundOneIsOnlyProbed(t *testing.T) {
-	for name, c := range map[string]call{"once": once, "again": again} {
+// Guards against a thundering herd on a server that keeps failing while another has recovered.
+func TestFailingServerIsOnlyProbedWhileAnotherIsHealthy(t *testing.T) {
+	for name, c := range map[string]routeCall{"once": nonIdempotent, "again": idempotent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			failing, sound := instanceOf(c, "i-1", standin.Dies), instanceOf(c, "i-2", standin.Dies)
-			fixture := newFixture(t).serve(failing, sound)
-			fixture.makeMany(c, burst)
-			sound.SetManner(soundly(c))
+			failing, healthy := newInstance(c, "i-1", standin.Dies), newInstance(c, "i-2", standin.Dies)
+			fixture := newFixture(t).serve(failing, healthy)
+			fixture.makeMany(c, burstSize)
+			healthy.SetManner(succeeds(c))
 			recovered := time.Now()
 			for time.Since(recovered) < time.Second {
-				fixture.makeMany(c, burst)
+				fixture.makeMany(c, burstSize)
 			}
-			require.LessOrEqual(t, failing.Most(herdWindow, recovered), herdMost, "%d in all", len(failing.Reached(recovered)))
+			require.LessOrEqual(t, failing.Most(probeWindow, recovered), maxProbes, "%d in all", len(failing.Reached(recovered)))
 		})
 	}
 }
--- a/cmd/cloverrail/limit_test.go
+++ b/cmd/cloverrail/limit_test.go
@@ -14,56 +14,48 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: two engines that had named a limit of 1 request a second in their answers got
-// 13 and 12 requests in 4 s from nodes that they had told.
-//
-// How: the engines were short of something and said so beside each answer. The nodes passed the
-// word on to callers and placed requests there as before; 4 of the 13 and 12 were the nodes' own
-// questions for cached parts.
-//
-// Cause: the word of a server was read for leaving and for rest alone. A limit of the whole fleet
-// had no place in what nodes believe, and the nodes' own calls to a server were counted nowhere.
-//
-// Proof: no line or counter told of a limit, the placements in the log fall short of what reached
-// the engines by the calls of the node that follows them, and the tests below, in which nothing
-// but that word tells of a server in need.
+// These tests guard against exceeding the rate limit that a server advertises in its responses.
+// Nodes used to forward that header to clients without applying it, and did not count their own
+// calls: two engines limited to 1 request per second got 13 and 12 requests in 4 s, of which 4
+// were the nodes' own polls of cache contents. In these tests, only the response header shows the
+// limit.
 
 const (
-	// limitWindow is the time in which requests are counted, and within it limitFactor times
-	// what a limit allows and limitSlack more may reach a server.
+	// limitWindow is the time window in which requests are counted. At most limitFactor times
+	// what the limit allows in it, plus limitSlack, may reach a server.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitUse is the part of a limit that must be used while far more is asked for.
-	limitUse = 0.6
+	// minUtilization is the fraction of a limit that must be used under overload.
+	minUtilization = 0.6
 )
 
-// allows is the most that a limit allows in a window.
-func allows(perSecond float64) int {
+// maxInWindow returns the most requests that a limit allows in a window.
+func maxInWindow(perSecond float64) int {
 	return int(limitFactor*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// pressed counts what became of requests.
-type pressed struct {
-	mutex           sync.Mutex
-	served, refused int
-	// reasons are the bodies of refusals, some of them.
+// loadResult counts the outcomes of requests.
+type loadResult struct {
+	mutex            sync.Mutex
+	served, rejected int
+	// reasons holds the bodies of the first rejections.
 	reasons []string
 }
 
-// mostReasons bounds the reasons that are kept.
-const mostReasons = 3
+// maxReasons bounds the reasons that are kept.
+const maxReasons = 3
 
-// press sends requests on a route to nodes, some hundred a second to each, for a time. All are
-// served, or refused at once as not run with a time to come back.
-func press(t *testing.T, c call, length time.Duration, nodes ...*fixture) *pressed {
-	counts := &pressed{}
+// generateLoad sends requests on a route to nodes for a duration, some hundred per second to each.
+// All must be served, or rejected as not run with a Retry-After.
+func generateLoad(t *testing.T, c routeCall, duration time.Duration, nodes ...*fixture) *loadResult {
+	counts := &loadResult{}
 	var sent sync.WaitGroup
 	for _, node := range nodes {
 		for range 4 {
 			sent.Go(func() {
-				for began := time.Now(); time.Since(began) < length; time.Sleep(20 * time.Millisecond) {
-					counts.take(t, node.make(c))
+				for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
+					counts.record(t, node.make(c))
 				}
 			})
 		}
@@ -72,16 +64,16 @@
 	return counts
 }
 
-func (p *pressed) take(t *testing.T, got answer) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+func (r *loadResult) record(t *testing.T, got clientResult) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	switch got.status {
 	case http.StatusOK:
-		p.served++
+		r.served++
 	case http.StatusServiceUnavailable:
-		p.refused++
-		if len(p.reasons) < mostReasons {
-			p.reasons = append(p.reasons, got.body)
+		r.rejected++
+		if len(r.reasons) < maxReasons {
+			r.reasons = append(r.reasons, got.body)
 		}
 		wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil || wait <= 0 {
@@ -92,148 +84,148 @@
 	}
 }
 
-// requireKept checks that a server got no more than its limit allows, since a time.
-func requireKept(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
+// requireWithinLimit checks that a server got no more requests than its limit allows since a time.
+func requireWithinLimit(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
-	require.LessOrEqual(t, server.Most(limitWindow, since), allows(perSecond), "requests in %v at a limit of %v a second", limitWindow, perSecond)
+	require.LessOrEqual(t, server.Most(limitWindow, since), maxInWindow(perSecond), "requests in %v at a limit of %v a second", limitWindow, perSecond)
 }
 
-// requireUsed checks that requests reached a server as often as it takes them, within a time
-// that began some seconds ago.
-func requireUsed(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
+// requireLimitUsed checks that a server got at least minUtilization of its limit since a time,
+// which should be some seconds ago.
+func requireLimitUsed(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
-	least := limitUse * perSecond * time.Since(since).Seconds()
+	least := minUtilization * perSecond * time.Since(since).Seconds()
 	require.GreaterOrEqual(t, float64(len(server.Reached(since))), least, "requests since %v at a limit of %v a second", time.Since(since), perSecond)
 }
 
-// open is a route that needs no key.
-var open = call{method: http.MethodGet, path: "/open/"}
+// publicRoute is a route that requires no key.
+var publicRoute = routeCall{method: http.MethodGet, path: "/open/"}
 
-// pressing is how long requests are sent once a limit must be kept.
-const pressing = 2 * limitWindow
+// loadDuration is how long requests are sent once a limit must be respected.
+const loadDuration = 2 * limitWindow
 
-func TestAServerThatNamesALimitIsKeptWithinIt(t *testing.T) {
+func TestServerRateLimitIsRespected(t *testing.T) {
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			needy, other := instanceOf(c, "i-1", soundly(c)), instanceOf(c, "i-2", soundly(c))
-			fixture := newFixture(t).serve(needy, other)
-			needy.NameLimit("1")
+			limited, other := newInstance(c, "i-1", succeeds(c)), newInstance(c, "i-2", succeeds(c))
+			fixture := newFixture(t).serve(limited, other)
+			limited.NameLimit("1")
 			named := time.Now()
-			counts := press(t, c, contact+pressing, fixture)
-			require.Zero(t, counts.refused, "the other server has room: %q", counts.reasons)
-			requireKept(t, needy, 1, named.Add(contact))
+			counts := generateLoad(t, c, propagationTime+loadDuration, fixture)
+			require.Zero(t, counts.rejected, "the other server has room: %q", counts.reasons)
+			requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 		})
 	}
 	for _, perSecond := range []float64{0, 0.2, 1, 5, 40} {
 		t.Run(fmt.Sprintf("no other server is left, %v a second", perSecond), func(t *testing.T) {
 			t.Parallel()
-			needy := plainServer("i-1", soundly(once))
-			fixture := newFixture(t).serve(needy)
-			needy.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+			limited := plainServer("i-1", succeeds(nonIdempotent))
+			fixture := newFixture(t).serve(limited)
+			limited.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 			named := time.Now()
-			press(t, once, contact, fixture)
+			generateLoad(t, nonIdempotent, propagationTime, fixture)
 			settled := time.Now()
 			took := time.Now()
-			counts := press(t, once, pressing, fixture)
-			require.Less(t, time.Since(took), pressing+time.Second, "what cannot be served is refused at once")
-			require.NotZero(t, counts.refused)
-			requireKept(t, needy, perSecond, named.Add(contact))
-			requireUsed(t, needy, perSecond, settled)
+			counts := generateLoad(t, nonIdempotent, loadDuration, fixture)
+			require.Less(t, time.Since(took), loadDuration+time.Second, "what cannot be served is refused at once")
+			require.NotZero(t, counts.rejected)
+			requireWithinLimit(t, limited, perSecond, named.Add(propagationTime))
+			requireLimitUsed(t, limited, perSecond, settled)
 		})
 	}
 	t.Run("what fails elsewhere", func(t *testing.T) {
 		t.Parallel()
-		needy, failing := plainServer("i-1", soundly(again)), plainServer("i-2", standin.Answers(http.StatusInternalServerError, "no"))
-		fixture := newFixture(t).serve(needy, failing)
-		needy.NameLimit("1")
+		limited, failing := plainServer("i-1", succeeds(idempotent)), plainServer("i-2", standin.Answers(http.StatusInternalServerError, "no"))
+		fixture := newFixture(t).serve(limited, failing)
+		limited.NameLimit("1")
 		named := time.Now()
-		for time.Since(named) < contact+pressing {
-			fixture.makeMany(again, 4)
+		for time.Since(named) < propagationTime+loadDuration {
+			fixture.makeMany(idempotent, 4)
 			time.Sleep(20 * time.Millisecond)
 		}
-		requireKept(t, needy, 1, named.Add(contact))
+		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 	})
 	t.Run("streams that break elsewhere", func(t *testing.T) {
 		t.Parallel()
-		needy, breaking := engine("i-1", soundly(resumed)), engine("i-2", standin.Streams(3, 2))
-		fixture := newFixture(t).serve(needy, breaking)
-		needy.NameLimit("1")
+		limited, breaking := engine("i-1", succeeds(resumableStream)), engine("i-2", standin.Streams(3, 2))
+		fixture := newFixture(t).serve(limited, breaking)
+		limited.NameLimit("1")
 		named := time.Now()
-		for time.Since(named) < contact+pressing {
-			fixture.makeMany(resumed, 4)
+		for time.Since(named) < propagationTime+loadDuration {
+			fixture.makeMany(resumableStream, 4)
 			time.Sleep(20 * time.Millisecond)
 		}
-		requireKept(t, needy, 1, named.Add(contact))
+		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 	})
-	t.Run("while cached parts are followed and weights are ordered", limitedOwnCalls)
+	t.Run("while cached parts are followed and weights are ordered", ownCallsCountAgainstLimit)
 	t.Run("while the store is dark", func(t *testing.T) {
 		t.Parallel()
-		needy, other := plainServer("i-1", soundly(once)), plainServer("i-2", soundly(once))
-		fixture := newFixture(t).serve(needy, other)
-		fixture.darken(true)
-		needy.NameLimit("1")
+		limited, other := plainServer("i-1", succeeds(nonIdempotent)), plainServer("i-2", succeeds(nonIdempotent))
+		fixture := newFixture(t).serve(limited, other)
+		fixture.setStoreDown(true)
+		limited.NameLimit("1")
 		named := time.Now()
-		for time.Since(named) < contact+pressing {
-			fixture.makeMany(open, 4)
+		for time.Since(named) < propagationTime+loadDuration {
+			fixture.makeMany(publicRoute, 4)
 			time.Sleep(20 * time.Millisecond)
 		}
-		requireKept(t, needy, 1, named.Add(contact))
-		require.NotZero(t, other.Most(limitWindow, named.Add(contact)), "routes without keys are served meanwhile")
+		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
+		require.NotZero(t, other.Most(limitWindow, named.Add(propagationTime)), "routes without keys are served meanwhile")
 	})
-	t.Run("it falls, rises and ends", limitChanges)
+	t.Run("it falls, rises and ends", limitChangesAreFollowed)
 	for _, absurd := range []string{"-1", "NaN", "few", "1,2", "1e300"} {
 		t.Run(fmt.Sprintf("an absurd limit %q", absurd), func(t *testing.T) {
 			t.Parallel()
-			server := plainServer("i-1", soundly(once))
+			server := plainServer("i-1", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(server)
 			server.NameLimit(absurd)
-			counts := press(t, once, 2*time.Second, fixture)
-			require.Zero(t, counts.refused, "%q", counts.reasons)
+			counts := generateLoad(t, nonIdempotent, 2*time.Second, fixture)
+			require.Zero(t, counts.rejected, "%q", counts.reasons)
 		})
 	}
 }
 
-// limitedOwnCalls checks that the node's own calls count.
-func limitedOwnCalls(t *testing.T) {
+// ownCallsCountAgainstLimit checks that the node's own calls count against a server's limit.
+func ownCallsCountAgainstLimit(t *testing.T) {
 	t.Parallel()
-	needy, other := engine("i-1", soundly(oneShot)), engine("i-2", soundly(oneShot))
-	fixture := newFixture(t).serve(needy, other)
+	limited, other := engine("i-1", succeeds(plainStream)), engine("i-2", succeeds(plainStream))
+	fixture := newFixture(t).serve(limited, other)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	needy.LoadTime = 2 * time.Second
-	fixture.process.followHolders(ctx)
-	fixture.until(func() bool { return len(needy.Reached(time.Time{})) > 3 })
-	needy.NameLimit("1")
+	limited.LoadTime = 2 * time.Second
+	fixture.process.watchHolders(ctx)
+	fixture.waitUntil(func() bool { return len(limited.Reached(time.Time{})) > 3 })
+	limited.NameLimit("1")
 	named := time.Now()
-	press(t, oneShot, contact, fixture)
+	generateLoad(t, plainStream, propagationTime, fixture)
 	fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
-	counts := press(t, oneShot, pressing, fixture)
-	requireKept(t, needy, 1, named.Add(contact))
-	require.Equal(t, int64(2), needy.Version(), "the weights are ordered all the same")
+	counts := generateLoad(t, plainStream, loadDuration, fixture)
+	requireWithinLimit(t, limited, 1, named.Add(propagationTime))
+	require.Equal(t, int64(2), limited.Version(), "the weights are ordered all the same")
 	require.NotZero(t, counts.served)
 }
 
-// limitChanges checks that a limit is followed as it changes.
-func limitChanges(t *testing.T) {
+// limitChangesAreFollowed checks that changes of a limit take effect.
+func limitChangesAreFollowed(t *testing.T) {
 	t.Parallel()
-	server := plainServer("i-1", soundly(once))
+	server := plainServer("i-1", succeeds(nonIdempotent))
 	fixture := newFixture(t).serve(server)
 	server.NameLimit("20")
-	press(t, once, contact, fixture)
+	generateLoad(t, nonIdempotent, propagationTime, fixture)
 	server.NameLimit("1")
 	fell := time.Now()
-	press(t, once, contact+limitWindow, fixture)
-	requireKept(t, server, 1, fell.Add(time.Second))
+	generateLoad(t, nonIdempotent, propagationTime+limitWindow, fixture)
+	requireWithinLimit(t, server, 1, fell.Add(time.Second))
 	server.NameLimit("20")
-	press(t, once, contact, fixture)
+	generateLoad(t, nonIdempotent, propagationTime, fixture)
 	rose := time.Now()
-	press(t, once, limitWindow, fixture)
-	requireKept(t, server, 20, rose)
-	requireUsed(t, server, 20, rose)
+	generateLoad(t, nonIdempotent, limitWindow, fixture)
+	requireWithinLimit(t, server, 20, rose)
+	requireLimitUsed(t, server, 20, rose)
 	server.NameLimit("")
-	fixture.until(func() bool {
-		for _, got := range fixture.makeMany(once, 40) {
+	fixture.waitUntil(func() bool {
+		for _, got := range fixture.makeMany(nonIdempotent, 40) {
 			if got.status != http.StatusOK {
 				return false
 			}
@@ -242,16 +234,16 @@
 	})
 }
 
-func TestAFleetKeepsAServerWithinItsLimit(t *testing.T) {
+func TestFleetRespectsServerRateLimit(t *testing.T) {
 	t.Run("others have room", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 3)
-		needy := fleet.machines[0].Lives()[0]
-		needy.NameLimit("1.2")
+		limited := fleet.machines[0].Lives()[0]
+		limited.NameLimit("1.2")
 		named := time.Now()
-		counts := press(t, again, contact+pressing, fleet.nodes...)
-		require.Zero(t, counts.refused, "%q", counts.reasons)
-		requireKept(t, needy, 1.2, named.Add(contact))
+		counts := generateLoad(t, idempotent, propagationTime+loadDuration, fleet.nodes...)
+		require.Zero(t, counts.rejected, "%q", counts.reasons)
+		requireWithinLimit(t, limited, 1.2, named.Add(propagationTime))
 	})
 	t.Run("all servers are limited", func(t *testing.T) {
 		t.Parallel()
@@ -260,51 +252,51 @@
 			machine.Lives()[0].NameLimit("3")
 		}
 		named := time.Now()
-		press(t, oneShot, contact, fleet.nodes...)
+		generateLoad(t, plainStream, propagationTime, fleet.nodes...)
 		settled := time.Now()
-		press(t, oneShot, pressing, fleet.nodes...)
+		generateLoad(t, plainStream, loadDuration, fleet.nodes...)
 		for _, machine := range fleet.machines {
 			if server := machine.Lives()[0]; server.Model != "" {
-				requireKept(t, server, 3, named.Add(contact))
-				requireUsed(t, server, 3, settled)
+				requireWithinLimit(t, server, 3, named.Add(propagationTime))
+				requireLimitUsed(t, server, 3, settled)
 			}
 		}
 	})
 	t.Run("one node has all the requests", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
-		needy := fleet.machines[0].Lives()[0]
-		needy.NameLimit("4")
+		limited := fleet.machines[0].Lives()[0]
+		limited.NameLimit("4")
 		named := time.Now()
-		press(t, once, contact, fleet.nodes...)
-		press(t, once, contact, fleet.nodes[0])
+		generateLoad(t, nonIdempotent, propagationTime, fleet.nodes...)
+		generateLoad(t, nonIdempotent, propagationTime, fleet.nodes[0])
 		settled := time.Now()
-		press(t, once, pressing, fleet.nodes[0])
-		requireKept(t, needy, 4, named.Add(contact))
-		requireUsed(t, needy, 4, settled)
+		generateLoad(t, nonIdempotent, loadDuration, fleet.nodes[0])
+		requireWithinLimit(t, limited, 4, named.Add(propagationTime))
+		requireLimitUsed(t, limited, 4, settled)
 	})
 	t.Run("a node starts, one ends and one is cut off", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
-		needy := fleet.machines[0].Lives()[0]
-		needy.NameLimit("3")
+		limited := fleet.machines[0].Lives()[0]
+		limited.NameLimit("3")
 		named := time.Now()
-		press(t, again, contact, fleet.nodes...)
-		started := fleet.join()
-		fleet.await(started)
-		// A node that starts is told by the server or by others, and keeps to it from then on.
-		press(t, again, time.Second, fleet.nodes...)
+		generateLoad(t, idempotent, propagationTime, fleet.nodes...)
+		started := fleet.addNode()
+		fleet.awaitReady(started)
+		// A starting node learns the limit from the server or from other nodes.
+		generateLoad(t, idempotent, time.Second, fleet.nodes...)
 		since := time.Now()
 		fleet.nodes[0].kill()
-		fleet.nodes[1].cut(true)
-		for time.Since(since) < pressing {
+		fleet.nodes[1].setIsolated(true)
+		for time.Since(since) < loadDuration {
 			for _, node := range fleet.nodes[1:] {
-				node.makeMany(again, 2)
+				node.makeMany(idempotent, 2)
 			}
 		}
-		fleet.nodes[1].cut(false)
-		press(t, again, limitWindow, fleet.nodes[2:]...)
-		requireKept(t, needy, 3, since)
-		require.Greater(t, time.Since(named), contact)
+		fleet.nodes[1].setIsolated(false)
+		generateLoad(t, idempotent, limitWindow, fleet.nodes[2:]...)
+		requireWithinLimit(t, limited, 3, since)
+		require.Greater(t, time.Since(named), propagationTime)
 	})
 }
--- a/cmd/cloverrail/notice_test.go
+++ b/cmd/cloverrail/notice_test.go
@@ -14,47 +14,39 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: a request reached a server 10.3 s after an answer of that server had told the
-// node that it leaves; and a server that had turned a node away and asked for 3 s of rest got
-// seven requests from it in that time.
-//
-// How: the store was dark while the server left, so that the list went on to call it ready. As
-// soon as the store was back, and requests with keys were served again, the node chose it as
-// any other. A server that was short of room was tried again every 100 ms.
-//
-// Cause: nodes believed of servers what the list says and what attempts come to. What a server
-// says of itself beside its answers was not read.
-//
-// Proof: the answer's head and the placement behind it stand in one log, and the tests below,
-// in which nothing but that word tells of a leaving or resting server.
+// These tests guard against ignoring the draining and Retry-After headers of servers' responses.
+// Nodes used only the store's list and the results of attempts. While the store was down, the list
+// still showed a draining server as ready, and a request reached it 10.3 s after its notice. A
+// server that asked for a backoff of 3 s was tried every 100 ms, and got seven requests in that
+// time. In these tests, only the response headers show the server's state.
 
-// call is a route of the fixture.
-type call struct {
+// routeCall is a request on one of the fixture's routes.
+type routeCall struct {
 	method, path string
-	// prompted says that engines serve it.
+	// prompted says that the route is served by engines and needs prompt headers.
 	prompted bool
 }
 
 var (
-	once     = call{method: http.MethodPost, path: "/once/"}
-	again    = call{method: http.MethodGet, path: "/again/"}
-	resumed  = call{method: http.MethodPost, path: "/stream/", prompted: true}
-	oneShot  = call{method: http.MethodPost, path: "/fixed/", prompted: true}
-	allCalls = map[string]call{"once": once, "again": again, "resumable stream": resumed, "stream": oneShot}
+	nonIdempotent   = routeCall{method: http.MethodPost, path: "/once/"}
+	idempotent      = routeCall{method: http.MethodGet, path: "/again/"}
+	resumableStream = routeCall{method: http.MethodPost, path: "/stream/", prompted: true}
+	plainStream     = routeCall{method: http.MethodPost, path: "/fixed/", prompted: true}
+	allCalls        = map[string]routeCall{"once": nonIdempotent, "again": idempotent, "resumable stream": resumableStream, "stream": plainStream}
 )
 
 // make sends one request on a route.
-func (fixture *fixture) make(c call) answer {
+func (fixture *fixture) make(c routeCall) clientResult {
 	return fixture.send(c.method, c.path, "turn", func(request *http.Request) {
 		if c.prompted {
-			prompt(request)
+			setPromptHeaders(request)
 		}
 	})
 }
 
-// makeMany sends requests on a route at once, and returns the answers.
-func (fixture *fixture) makeMany(c call, number int) []answer {
-	answers := make([]answer, number)
+// makeMany sends requests on a route concurrently, and returns the results.
+func (fixture *fixture) makeMany(c routeCall, number int) []clientResult {
+	answers := make([]clientResult, number)
 	var sent sync.WaitGroup
 	for i := range answers {
 		sent.Go(func() { answers[i] = fixture.make(c) })
@@ -63,42 +55,43 @@
 	return answers
 }
 
-// instanceOf returns a server that serves a route.
-func instanceOf(c call, name string, manner standin.Manner) *standin.Server {
+// newInstance returns a server that serves a route.
+func newInstance(c routeCall, name string, manner standin.Manner) *standin.Server {
 	if c.prompted {
 		return engine(name, manner)
 	}
 	return plainServer(name, manner)
 }
 
-// soundly is the manner in which a sound server treats a route's requests.
-func soundly(c call) standin.Manner {
+// succeeds returns the behavior of a healthy server for a route.
+func succeeds(c routeCall) standin.Manner {
 	if c.prompted {
 		return standin.Streams(3, 0)
 	}
 	return standin.Answers(http.StatusOK, "done")
 }
 
-// darken lets the store answer nothing, or answer again.
-func (fixture *fixture) darken(dark bool) {
-	if !dark {
+// setStoreDown makes the store unavailable, or available again.
+func (fixture *fixture) setStoreDown(down bool) {
+	if !down {
 		fixture.store.SetHarm(nil)
 		return
 	}
 	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Down })
 }
 
-// reach sends requests on a route until a server has got one more.
-func (fixture *fixture) reach(c call, server *standin.Server) {
+// requestUntilReached sends requests on a route until a server has received one more.
+func (fixture *fixture) requestUntilReached(c routeCall, server *standin.Server) {
 	before := len(server.Arrivals())
-	fixture.until(func() bool {
+	fixture.waitUntil(func() bool {
 		fixture.makeMany(c, 4)
 		return len(server.Arrivals()) > before
 	})
 }
 
-// leaveNothing checks that requests reach a server no more, and are served if there is another.
-func (fixture *fixture) leaveNothing(c call, server *standin.Server, served bool) {
+// requireNoneReached checks that requests do not reach a server, and that they are served if another
+// server is available or else rejected with a Retry-After.
+func (fixture *fixture) requireNoneReached(c routeCall, server *standin.Server, served bool) {
 	before := len(server.Arrivals())
 	for _, got := range fixture.makeMany(c, 40) {
 		if served {
@@ -112,215 +105,215 @@
 	require.Equal(fixture.t, before, len(server.Arrivals()), "a request reached a server after its word that it leaves")
 }
 
-func TestAServerThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+func TestDrainingNoticeStopsNewRequests(t *testing.T) {
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaver, other := instanceOf(c, "i-1", soundly(c)), instanceOf(c, "i-2", soundly(c))
-			fixture := newFixture(t).serve(leaver, other)
-			leaver.Leave()
-			fixture.darken(true)
-			fixture.reach(c, leaver)
-			fixture.leaveNothing(c, leaver, true)
-			fixture.darken(false)
-			entry := leaver.Entry("plain", "", "a", "ready")
-			known, _ := fixture.known("i-1")
+			draining, other := newInstance(c, "i-1", succeeds(c)), newInstance(c, "i-2", succeeds(c))
+			fixture := newFixture(t).serve(draining, other)
+			draining.Leave()
+			fixture.setStoreDown(true)
+			fixture.requestUntilReached(c, draining)
+			fixture.requireNoneReached(c, draining, true)
+			fixture.setStoreDown(false)
+			entry := draining.Entry("plain", "", "a", "ready")
+			known, _ := fixture.listedServer("i-1")
 			entry.Service, entry.Address = known.Service, known.Address
 			fixture.store.Put(standin.PrefixServers+"i-1", entry)
 			fixture.declare(key)
-			fixture.leaveNothing(c, leaver, true)
+			fixture.requireNoneReached(c, draining, true)
 			fixture.store.Remove(standin.PrefixServers + "i-1")
-			fixture.until(func() bool { _, found := fixture.known("i-1"); return !found })
+			fixture.waitUntil(func() bool { _, found := fixture.listedServer("i-1"); return !found })
 			fixture.store.Put(standin.PrefixServers+"i-1", entry)
-			fixture.until(func() bool { _, found := fixture.known("i-1"); return found })
-			fixture.leaveNothing(c, leaver, true)
+			fixture.waitUntil(func() bool { _, found := fixture.listedServer("i-1"); return found })
+			fixture.requireNoneReached(c, draining, true)
 		})
 	}
 	t.Run("no other server is left", func(t *testing.T) {
 		t.Parallel()
-		leaver := plainServer("i-1", soundly(once))
-		fixture := newFixture(t).serve(leaver)
-		leaver.Leave()
-		fixture.reach(once, leaver)
-		fixture.leaveNothing(once, leaver, false)
+		draining := plainServer("i-1", succeeds(nonIdempotent))
+		fixture := newFixture(t).serve(draining)
+		draining.Leave()
+		fixture.requestUntilReached(nonIdempotent, draining)
+		fixture.requireNoneReached(nonIdempotent, draining, false)
 	})
 	t.Run("by an answer that broke off", func(t *testing.T) {
 		t.Parallel()
-		leaver, other := engine("i-1", standin.Streams(3, 1)), engine("i-2", soundly(resumed))
-		fixture := newFixture(t).serve(leaver, other)
-		leaver.Leave()
-		fixture.reach(resumed, leaver)
-		fixture.leaveNothing(resumed, leaver, true)
+		draining, other := engine("i-1", standin.Streams(3, 1)), engine("i-2", succeeds(resumableStream))
+		fixture := newFixture(t).serve(draining, other)
+		draining.Leave()
+		fixture.requestUntilReached(resumableStream, draining)
+		fixture.requireNoneReached(resumableStream, draining, true)
 	})
 	t.Run("by a stream that still runs", func(t *testing.T) {
 		t.Parallel()
-		leaver, other := engine("i-1", standin.Paced(40, 50*time.Millisecond, "token")), engine("i-2", soundly(resumed))
-		fixture := newFixture(t).serve(leaver, other)
-		leaver.Leave()
+		draining, other := engine("i-1", standin.Paced(40, 50*time.Millisecond, "token")), engine("i-2", succeeds(resumableStream))
+		fixture := newFixture(t).serve(draining, other)
+		draining.Leave()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			fixture.reach(resumed, leaver)
+			fixture.requestUntilReached(resumableStream, draining)
 		}()
-		fixture.until(func() bool { return len(leaver.Arrivals()) > 0 })
+		fixture.waitUntil(func() bool { return len(draining.Arrivals()) > 0 })
 		time.Sleep(200 * time.Millisecond)
-		fixture.leaveNothing(resumed, leaver, true)
+		fixture.requireNoneReached(resumableStream, draining, true)
 		<-done
 	})
 	t.Run("by a refusal", func(t *testing.T) {
 		t.Parallel()
-		leaver, other := plainServer("i-1", standin.Sheds), plainServer("i-2", soundly(once))
-		fixture := newFixture(t).serve(leaver, other)
-		leaver.Leave()
-		fixture.reach(once, leaver)
-		fixture.leaveNothing(once, leaver, true)
+		draining, other := plainServer("i-1", standin.Sheds), plainServer("i-2", succeeds(nonIdempotent))
+		fixture := newFixture(t).serve(draining, other)
+		draining.Leave()
+		fixture.requestUntilReached(nonIdempotent, draining)
+		fixture.requireNoneReached(nonIdempotent, draining, true)
 	})
 	t.Run("by a report while weights are ordered", func(t *testing.T) {
 		t.Parallel()
-		leaver, other := engine("i-1", soundly(oneShot)), engine("i-2", soundly(oneShot))
-		fixture := newFixture(t).serve(leaver, other)
-		leaver.Leave()
-		known, _ := fixture.known("i-1")
-		_, err := fixture.process.servers.Report(context.Background(), known)
+		draining, other := engine("i-1", succeeds(plainStream)), engine("i-2", succeeds(plainStream))
+		fixture := newFixture(t).serve(draining, other)
+		draining.Leave()
+		known, _ := fixture.listedServer("i-1")
+		_, err := fixture.process.serverClient.Report(context.Background(), known)
 		require.NoError(t, err)
-		fixture.leaveNothing(oneShot, leaver, true)
-		orders := leaver.Orders()
+		fixture.requireNoneReached(plainStream, draining, true)
+		orders := draining.Orders()
 		fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
-		fixture.until(func() bool { return other.Version() == 2 })
-		require.Equal(t, orders, leaver.Orders(), "a leaving server is not ordered")
+		fixture.waitUntil(func() bool { return other.Version() == 2 })
+		require.Equal(t, orders, draining.Orders(), "a leaving server is not ordered")
 	})
-	t.Run("by the word of another node", nodesTellEachOther)
+	t.Run("by the word of another node", drainingNoticeReachesOtherNodes)
 }
 
-// nodesTellEachOther checks that the word that one node has heard counts at all.
-func nodesTellEachOther(t *testing.T) {
+// drainingNoticeReachesOtherNodes checks that a notice received by one node applies at all nodes.
+func drainingNoticeReachesOtherNodes(t *testing.T) {
 	fleet := newFleet(t, 3, 2)
-	leaver := fleet.machines[0].Lives()[0]
-	leaver.Leave()
-	fleet.nodes[0].reach(again, leaver)
-	time.Sleep(contact)
+	draining := fleet.machines[0].Lives()[0]
+	draining.Leave()
+	fleet.nodes[0].requestUntilReached(idempotent, draining)
+	time.Sleep(propagationTime)
 	for _, node := range fleet.nodes {
-		node.leaveNothing(again, leaver, true)
+		node.requireNoneReached(idempotent, draining, true)
 	}
 }
 
-// restGrace is how long after its answer requests may still reach a server that has asked for
-// rest, and restFew how many may reach it after that.
+// backoffGrace is how long requests may still reach a server after it has asked for a backoff;
+// maxDuringBackoff is the number of requests that may reach it later in the backoff.
 const (
-	restGrace = 500 * time.Millisecond
-	restFew   = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// inRest returns how many requests reached a server between the grace after the first refusal
-// and the end of the rest that it asked for.
-func inRest(server *standin.Server, rest time.Duration) int {
+// arrivalsDuringBackoff returns how many requests reached a server between backoffGrace after the
+// first refusal and the end of the backoff that it asked for.
+func arrivalsDuringBackoff(server *standin.Server, backoff time.Duration) int {
 	arrivals := server.Arrivals()
 	count := 0
 	for _, arrival := range arrivals[1:] {
-		if after := arrival.At.Sub(arrivals[0].At); after > restGrace && after < rest {
+		if after := arrival.At.Sub(arrivals[0].At); after > backoffGrace && after < backoff {
 			count++
 		}
 	}
 	return count
 }
 
-func TestAServerThatAsksForRestIsLeftAlone(t *testing.T) {
+func TestServerBackoffIsRespected(t *testing.T) {
 	const rest = 2 * time.Second
 	seconds := strconv.FormatFloat(rest.Seconds(), 'f', -1, 64)
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tired, other := instanceOf(c, "i-1", standin.Rests(seconds)), instanceOf(c, "i-2", soundly(c))
-			fixture := newFixture(t).serve(tired, other)
-			fixture.reach(c, tired)
+			overloaded, other := newInstance(c, "i-1", standin.Rests(seconds)), newInstance(c, "i-2", succeeds(c))
+			fixture := newFixture(t).serve(overloaded, other)
+			fixture.requestUntilReached(c, overloaded)
 			for began := time.Now(); time.Since(began) < rest; {
 				for _, got := range fixture.makeMany(c, 8) {
 					require.Equal(t, http.StatusOK, got.status, got.body)
 				}
 			}
-			require.LessOrEqual(t, inRest(tired, rest), restFew)
-			tired.SetManner(soundly(c))
-			fixture.reach(c, tired)
+			require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
+			overloaded.SetManner(succeeds(c))
+			fixture.requestUntilReached(c, overloaded)
 		})
 	}
 	t.Run("what fails elsewhere is not sent there", func(t *testing.T) {
 		t.Parallel()
-		tired, failing := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", standin.Dies)
-		fixture := newFixture(t).serve(tired, failing)
-		fixture.reach(again, tired)
+		overloaded, failing := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", standin.Dies)
+		fixture := newFixture(t).serve(overloaded, failing)
+		fixture.requestUntilReached(idempotent, overloaded)
 		for began := time.Now(); time.Since(began) < rest; {
-			fixture.makeMany(again, 4)
+			fixture.makeMany(idempotent, 4)
 		}
-		require.LessOrEqual(t, inRest(tired, rest), restFew)
+		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 	})
 	t.Run("no other server is left", func(t *testing.T) {
 		t.Parallel()
-		tired := plainServer("i-1", standin.Rests(seconds))
-		fixture := newFixture(t).serve(tired)
-		require.Equal(t, http.StatusServiceUnavailable, fixture.make(once).status)
-		for began := time.Now(); time.Since(began) < rest-restGrace; time.Sleep(10 * time.Millisecond) {
+		overloaded := plainServer("i-1", standin.Rests(seconds))
+		fixture := newFixture(t).serve(overloaded)
+		require.Equal(t, http.StatusServiceUnavailable, fixture.make(nonIdempotent).status)
+		for began := time.Now(); time.Since(began) < rest-backoffGrace; time.Sleep(10 * time.Millisecond) {
 			sent := time.Now()
-			got := fixture.make(once)
+			got := fixture.make(nonIdempotent)
 			require.Equal(t, http.StatusServiceUnavailable, got.status)
 			wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			left := rest - time.Since(tired.Arrivals()[0].At)
+			left := rest - time.Since(overloaded.Arrivals()[0].At)
 			require.GreaterOrEqual(t, wait, left.Seconds()-0.1, "before that nobody can serve it")
 			require.Less(t, time.Since(sent), rest/2, "it is refused at once")
 		}
-		require.LessOrEqual(t, inRest(tired, rest), restFew)
-		require.Zero(t, tired.Runs())
+		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
+		require.Zero(t, overloaded.Runs())
 	})
 	t.Run("while the store is dark", func(t *testing.T) {
 		t.Parallel()
-		tired, other := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", soundly(once))
-		fixture := newFixture(t).serve(tired, other)
-		fixture.darken(true)
-		fixture.reach(once, tired)
-		fixture.darken(false)
-		known, _ := fixture.known("i-1")
-		fixture.store.Put(standin.PrefixServers+"i-1", tired.Entry("plain", known.Address, "b", "ready"))
+		overloaded, other := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", succeeds(nonIdempotent))
+		fixture := newFixture(t).serve(overloaded, other)
+		fixture.setStoreDown(true)
+		fixture.requestUntilReached(nonIdempotent, overloaded)
+		fixture.setStoreDown(false)
+		known, _ := fixture.listedServer("i-1")
+		fixture.store.Put(standin.PrefixServers+"i-1", overloaded.Entry("plain", known.Address, "b", "ready"))
 		for began := time.Now(); time.Since(began) < rest; {
-			fixture.makeMany(once, 8)
+			fixture.makeMany(nonIdempotent, 8)
 		}
-		require.LessOrEqual(t, inRest(tired, rest), restFew)
+		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 	})
-	t.Run("after it, without a herd", usedAgainWithoutAHerd)
-	for _, absurd := range []string{"-1", "NaN", "soon", "", "1e300"} {
-		t.Run(fmt.Sprintf("an absurd rest %q", absurd), func(t *testing.T) {
+	t.Run("after it, without a herd", backoffEndsWithoutBurst)
+	for _, invalid := range []string{"-1", "NaN", "soon", "", "1e300"} {
+		t.Run(fmt.Sprintf("an absurd rest %q", invalid), func(t *testing.T) {
 			t.Parallel()
-			tired, other := plainServer("i-1", standin.Rests(absurd)), plainServer("i-2", soundly(once))
-			fixture := newFixture(t).serve(tired, other)
-			fixture.reach(once, tired)
-			tired.SetManner(soundly(once))
-			if absurd == "1e300" {
+			overloaded, other := plainServer("i-1", standin.Rests(invalid)), plainServer("i-2", succeeds(nonIdempotent))
+			fixture := newFixture(t).serve(overloaded, other)
+			fixture.requestUntilReached(nonIdempotent, overloaded)
+			overloaded.SetManner(succeeds(nonIdempotent))
+			if invalid == "1e300" {
 				for began := time.Now(); time.Since(began) < rest; {
-					fixture.makeMany(once, 8)
+					fixture.makeMany(nonIdempotent, 8)
 				}
-				require.LessOrEqual(t, inRest(tired, rest), restFew)
+				require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 				return
 			}
-			fixture.reach(once, tired)
+			fixture.requestUntilReached(nonIdempotent, overloaded)
 		})
 	}
 }
 
-// usedAgainWithoutAHerd checks that one request tries a server whose rest is over, and that it
-// serves as before soon after.
-func usedAgainWithoutAHerd(t *testing.T) {
+// backoffEndsWithoutBurst checks that a single request probes a server at the end of its backoff,
+// and that the server is fully used again soon after.
+func backoffEndsWithoutBurst(t *testing.T) {
 	const rest = time.Second
-	tired := plainServer("i-1", standin.Rests("1"))
-	fixture := newFixture(t).serve(tired)
-	fixture.make(once)
+	overloaded := plainServer("i-1", standin.Rests("1"))
+	fixture := newFixture(t).serve(overloaded)
+	fixture.make(nonIdempotent)
 	slow := func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
-		soundly(once)(server, w, r)
+		succeeds(nonIdempotent)(server, w, r)
 	}
-	tired.SetManner(slow)
+	overloaded.SetManner(slow)
 	ended := time.Now().Add(rest)
 	served := 0
-	fixture.until(func() bool {
-		for _, got := range fixture.makeMany(once, 20) {
+	fixture.waitUntil(func() bool {
+		for _, got := range fixture.makeMany(nonIdempotent, 20) {
 			if got.status == http.StatusOK {
 				served++
 			}
@@ -328,19 +321,19 @@
 		return served > 0
 	})
 	first := time.Time{}
-	together := 0
-	for _, arrival := range tired.Arrivals()[1:] {
+	concurrent := 0
+	for _, arrival := range overloaded.Arrivals()[1:] {
 		if first.IsZero() {
 			first = arrival.At
 		}
 		if arrival.At.Sub(first) < 50*time.Millisecond {
-			together++
+			concurrent++
 		}
 	}
 	require.False(t, first.Before(ended.Add(-50*time.Millisecond)))
-	require.LessOrEqual(t, together, 2, "one request tries a server whose rest is over, before all that wait")
-	fixture.until(func() bool {
-		for _, got := range fixture.makeMany(once, 8) {
+	require.LessOrEqual(t, concurrent, 2, "one request tries a server whose rest is over, before all that wait")
+	fixture.waitUntil(func() bool {
+		for _, got := range fixture.makeMany(nonIdempotent, 8) {
 			if got.status != http.StatusOK {
 				return false
 			}
--- a/cmd/cloverrail/notices.go
+++ b/cmd/cloverrail/notices.go
@@ -8,61 +8,63 @@
 	"github.com/cloverrail/cloverrail/platform"
 )
 
-// noticed takes what a server says of itself beside an answer.
-func (process *process) noticed(heard platform.Heard) {
+// handleNotice applies the server state reported in the headers of a response.
+func (process *process) handleNotice(received platform.ReceivedNotice) {
 	now := boottime.Now()
-	if heard.Notice.Limited || heard.Notice.Whole && process.limits.Active() {
-		process.noticedLimit(heard, now)
+	if received.Notice.HasRateLimit || received.Notice.Authoritative && process.serverLimits.Active() {
+		process.handleRateLimit(received, now)
 	}
-	if !heard.Notice.Says() && heard.Unreadable == nil {
+	if !received.Notice.HasSignals() && received.ParseError == nil {
 		return
 	}
-	news := process.set.Notice(heard.Instance, heard.Notice, now)
-	process.recorder.Noticed(heard.Instance, heard.Notice, news, heard.Unreadable)
+	changed := process.serverSet.Notice(received.Instance, received.Notice, now)
+	process.recorder.NoticeReceived(received.Instance, received.Notice, changed, received.ParseError)
 }
 
-// noticedLimit takes that a server names a limit in its answer, or none.
-func (process *process) noticedLimit(heard platform.Heard, now time.Time) {
-	server, found := process.set.Known(heard.Instance)
+// handleRateLimit applies the rate limit that a server advertises in a response, or its absence.
+func (process *process) handleRateLimit(received platform.ReceivedNotice, now time.Time) {
+	server, found := process.serverSet.Find(received.Instance)
 	switch {
 	case !found:
-	case heard.Notice.Limited:
-		if process.limits.Named(server.Key, heard.Notice.Limit, now) {
-			process.recorder.LimitNamed(server.Name, heard.Notice.Limit)
+	case received.Notice.HasRateLimit:
+		if process.serverLimits.ObserveLimit(server.Key, received.Notice.RateLimit, now) {
+			process.recorder.RateLimitAdvertised(server.Name, received.Notice.RateLimit)
 		}
-	case process.limits.Unnamed(server.Key, heard.SentAt, now):
-		process.recorder.LimitEnded(server.Name)
+	case process.serverLimits.ObserveNoLimit(server.Key, received.SentAt, now):
+		process.recorder.RateLimitLifted(server.Name)
 	}
 }
 
-// toldLimits logs what other nodes have heard of the limits of servers.
-func (process *process) toldLimits(news []quota.Told) {
-	for _, told := range news {
-		if server, found := process.set.KnownBy(told.Is); found {
-			process.recorder.ToldLimit(server.Name, told)
+// recordPeerLimits records the rate limits of servers that other nodes report.
+func (process *process) recordPeerLimits(changes []quota.LimitChange) {
+	for _, change := range changes {
+		if server, found := process.serverSet.FindByKey(change.Matches); found {
+			process.recorder.PeerRateLimit(server.Name, change)
 		}
 	}
 }
 
-// called counts one of this node's own calls to the server at an address.
-func (process *process) called(call, address string) {
-	process.recorder.Called(call)
-	if !process.limits.Active() {
+// chargeOwnCall counts one of this node's own calls against the rate limit of the server at an
+// address.
+func (process *process) chargeOwnCall(call, address string) {
+	process.recorder.OwnCall(call)
+	if !process.serverLimits.Active() {
 		return
 	}
-	if server, found := process.set.KnownAt(address); found {
-		process.limits.Pay(server.Key, server.Service, boottime.Now())
+	if server, found := process.serverSet.FindByAddress(address); found {
+		process.serverLimits.Charge(server.Key, server.Service, boottime.Now())
 	}
 }
 
-// pace is the least time between two of the fleet's own questions to the server at an address.
-func (process *process) pace(address string) time.Duration {
-	if !process.limits.Active() {
+// minCallInterval returns the minimum time between two of the fleet's own calls to the server at
+// an address.
+func (process *process) minCallInterval(address string) time.Duration {
+	if !process.serverLimits.Active() {
 		return 0
 	}
-	server, found := process.set.KnownAt(address)
+	server, found := process.serverSet.FindByAddress(address)
 	if !found {
 		return 0
 	}
-	return process.limits.Pace(server.Key, boottime.Now())
+	return process.serverLimits.MinInterval(server.Key, boottime.Now())
 }
--- a/cmd/cloverrail/process.go
+++ b/cmd/cloverrail/process.go
@@ -33,158 +33,158 @@
 )
 
 const (
-	// leasePart is the life of the holder's lease as a part of the time between two
-	// holders.
-	leasePart = 0.65
-	// turnPerRank spreads the tries to take a duty over: the first reader, which the
-	// relays follow, comes first.
-	turnPerRank = 50 * time.Millisecond
-	// lapseBeats is after how many heartbeats the entry of a server that has ended is gone
-	// for certain: three of silence, one that came just before its end, and one for the way
-	// of the list to this node.
-	lapseBeats = 5
-	// keepTurn is how long a node waits for each one of a better rank before it writes to
-	// the store what that one should have written: longer than a reading of it is old.
-	keepTurn = time.Second
+	// leaseFraction is the TTL of the leader's lease as a fraction of the handover delay between
+	// two leaders.
+	leaseFraction = 0.65
+	// campaignDelayPerRank staggers leadership campaigns by rank, so that the first reader, which
+	// the relays poll, comes first.
+	campaignDelayPerRank = 50 * time.Millisecond
+	// entryExpiryHeartbeats is the number of heartbeats after which the entry of a crashed server
+	// is certainly gone from this node's list: three missed ones, one sent just before the crash,
+	// and one for the list to reach this node.
+	entryExpiryHeartbeats = 5
+	// writeDelayPerRank is how long a node waits, for each node of a better rank, before it writes
+	// a quarantine entry that such a node should have written. It exceeds the age of a store read.
+	writeDelayPerRank = time.Second
 
-	// followedLife is for how long after its last use an engine is asked for what it holds,
-	// where there are more than can be asked in time.
-	followedLife = 20 * time.Second
+	// engineIdleLimit is how long after its last use an engine's cache is watched if there are more
+	// engines than can be polled in time.
+	engineIdleLimit = 20 * time.Second
 
 	connectTimeout = 300 * time.Millisecond
-	silenceTimeout = 1500 * time.Millisecond
+	ackTimeout     = 1500 * time.Millisecond
 )
 
-// process is the parts of a running proxy.
+// process holds the components of a running proxy.
 type process struct {
-	settings settings.Proxy
-	log      zerolog.Logger
-	belief   *catalog.Holder
-	set      *backend.Set
-	store    *platform.Store
-	eras     *coordination.Eras
-	source   *platform.Source
-	servers  *platform.Servers
-	metrics  *telemetry.Metrics
-	recorder *telemetry.Recorder
-	retries  *proxy.Retries
-	ledger   *residency.Ledger
-	limiter  *quota.Limiter
-	limits   *quota.Servers
-	requests *quarantine.Ledger
-	proxy    *proxy.Proxy
-	registry *fleet.Registry
-	feed     *reflector.Feed
-	work     *workshare.Board
+	settings         settings.Proxy
+	log              zerolog.Logger
+	replica          *catalog.AtomicReplica
+	serverSet        *backend.Set
+	store            *platform.Store
+	eras             *coordination.EraTracker
+	source           *platform.Source
+	serverClient     *platform.ServerClient
+	metrics          *telemetry.Metrics
+	recorder         *telemetry.Recorder
+	retries          *proxy.Retries
+	cacheLedger      *residency.Ledger
+	tenantLimiter    *quota.Limiter
+	serverLimits     *quota.ServerLimits
+	quarantineLedger *quarantine.Ledger
+	proxy            *proxy.Proxy
+	registry         *fleet.Registry
+	feed             *reflector.Feed
+	workReports      *workshare.Aggregator
 	// peers calls other nodes.
 	peers *http.Client
-	// quarantine writes requests that are held off into the store.
-	quarantine *quarantine.Keeper
-	// reflector reads the store or follows a node that does.
+	// quarantinePersister writes quarantined requests to the store.
+	quarantinePersister *quarantine.Persister
+	// reflector reads the store, or polls a node that does.
 	reflector *reflector.Reflector
 	stopping  atomic.Bool
 }
 
-func newProcess(given settings.Proxy) (*process, error) {
-	level, err := zerolog.ParseLevel(given.LogLevel)
+func newProcess(config settings.Proxy) (*process, error) {
+	level, err := zerolog.ParseLevel(config.LogLevel)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	process := &process{settings: given, belief: &catalog.Holder{}, set: backend.NewSet(), peers: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	process := &process{settings: config, replica: &catalog.AtomicReplica{}, serverSet: backend.NewSet(), peers: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	zerolog.SetGlobalLevel(level)
-	process.log = zerolog.New(telemetry.NewWriter(os.Stdout)).With().Timestamp().Str("node", given.Name).Logger()
-	process.metrics = telemetry.NewMetrics(process.belief)
+	process.log = zerolog.New(telemetry.NewWriter(os.Stdout)).With().Timestamp().Str("node", config.Name).Logger()
+	process.metrics = telemetry.NewMetrics(process.replica)
 	process.recorder = telemetry.NewRecorder(process.log, process.metrics)
-	process.eras = &coordination.Eras{Changed: process.recorder.WentBack, Ignored: process.recorder.EraIgnored}
-	process.store = platform.NewStore(given.StoreAddress, process.recorder.StoreCalled, process.eras)
-	process.servers = platform.NewServers(platform.Connections{
-		Connect: connectTimeout,
-		Silence: silenceTimeout,
-		Used:    process.recorder.Connected,
-		Noticed: process.noticed,
-		Called:  process.called,
+	process.eras = &coordination.EraTracker{OnChange: process.recorder.StoreRestored, OnIgnored: process.recorder.EraIgnored}
+	process.store = platform.NewStore(config.StoreAddress, process.recorder.StoreCall, process.eras)
+	process.serverClient = platform.NewServerClient(platform.ConnectionOptions{
+		ConnectTimeout: connectTimeout,
+		AckTimeout:     ackTimeout,
+		OnConnection:   process.recorder.ConnectionUsed,
+		OnNotice:       process.handleNotice,
+		OnOwnCall:      process.chargeOwnCall,
 	})
 	process.retries = proxy.NewRetries(proxy.RetryBounds{
-		Ratio:  given.Bounds.RetryRatio,
-		Extra:  given.Bounds.RetryExtra,
-		Window: given.Bounds.RetryWindow,
+		Ratio:  config.Bounds.RetryRatio,
+		Extra:  config.Bounds.RetryExtra,
+		Window: config.Bounds.RetryWindow,
 	}, boottime.Now())
-	process.limiter = quota.New(quota.Bounds{
-		Window:    given.Bounds.QuotaWindow,
-		Overshoot: given.Bounds.QuotaOvershoot,
-		Slack:     given.Bounds.QuotaSlack,
+	process.tenantLimiter = quota.New(quota.Bounds{
+		Window:    config.Bounds.QuotaWindow,
+		Overshoot: config.Bounds.QuotaOvershoot,
+		Slack:     config.Bounds.QuotaSlack,
 	}, rand.Float64, boottime.Now())
-	process.limits = quota.NewServers(process.set.Knows, rand.Float64)
-	process.ledger = residency.NewLedger()
-	process.requests = quarantine.NewLedger()
+	process.serverLimits = quota.NewServerLimits(process.serverSet.Contains, rand.Float64)
+	process.cacheLedger = residency.NewLedger()
+	process.quarantineLedger = quarantine.NewLedger()
 	process.proxy = proxy.New(proxy.Options{
-		Belief:  process.belief,
-		Set:     process.set,
-		Servers: process.servers,
+		Replica: process.replica,
+		Set:     process.serverSet,
+		Servers: process.serverClient,
 		Bounds: proxy.Bounds{
-			Revocation:    given.Bounds.Revocation,
-			Configuration: given.Bounds.Configuration,
-			Weights:       given.Bounds.Weights,
-			ReplacedGrace: given.Bounds.ReplacedGrace,
-			ReplacedLoss:  given.Bounds.ReplacedLoss,
-			Contact:       given.Bounds.Contact,
+			Revocation:    config.Bounds.Revocation,
+			Configuration: config.Bounds.Configuration,
+			Weights:       config.Bounds.Weights,
+			ReplacedGrace: config.Bounds.ReplacedGrace,
+			ReplacedLoss:  config.Bounds.ReplacedLoss,
+			StartupGrace:  config.Bounds.StartupGrace,
 		},
-		Retries:  process.retries,
-		Distance: process.distance,
-		Recorder: process.recorder,
-		Ledger:   process.ledger,
-		Limiter:  process.limiter,
-		Limits:   process.limits,
-		Requests: process.requests,
-		Unsure:   process.unsure,
-		Lapse:    lapseBeats * given.Heartbeat,
+		Retries:      process.retries,
+		Distance:     process.distance,
+		Recorder:     process.recorder,
+		Ledger:       process.cacheLedger,
+		Limiter:      process.tenantLimiter,
+		ServerLimits: process.serverLimits,
+		Quarantine:   process.quarantineLedger,
+		Unconfirmed:  process.crashUnconfirmed,
+		EntryTTL:     entryExpiryHeartbeats * config.Heartbeat,
 	})
-	life := uuid.NewString()
-	process.source = platform.NewSource(process.store, process.recorder.Unreadable)
+	incarnation := uuid.NewString()
+	process.source = platform.NewSource(process.store, process.recorder.EntryUnreadable)
 	process.registry = &fleet.Registry{
-		Store:   process.store.WithPurpose("registration"),
-		Prefix:  platform.PrefixNodes,
-		Name:    given.Name,
-		Life:    life,
-		Address: given.PeerAddress,
-		Zone:    given.Zone,
-		Room:    given.ProcessorShare,
-		Resized: process.resize,
-		Eras:    process.eras,
-		Publish: process.publish,
+		Store:       process.store.WithPurpose("registration"),
+		Prefix:      platform.PrefixNodes,
+		Name:        config.Name,
+		Incarnation: incarnation,
+		Address:     config.PeerAddress,
+		Zone:        config.Zone,
+		Cores:       config.ProcessorShare,
+		OnResize:    process.resize,
+		Eras:        process.eras,
+		PublishView: process.publishView,
 	}
-	process.work = workshare.New(func() workshare.Report {
+	process.workReports = workshare.New(func() workshare.Report {
 		now := boottime.Now()
-		report := workshare.Report{Work: process.set.Work(now), Quota: process.limiter.Report(now)}
-		report.Quota.Rows = process.limits.Report(now)
+		report := workshare.Report{Work: process.serverSet.Work(now), Quota: process.tenantLimiter.Report(now)}
+		report.Quota.Rows = process.serverLimits.Report(now)
 		return report
 	})
-	process.feed = reflector.NewFeed(given.Name+" "+life, process.belief, process.registry, process.work, process.ledger, process.requests)
-	process.gauges()
-	process.quarantine = process.newQuarantine()
+	process.feed = reflector.NewFeed(config.Name+" "+incarnation, process.replica, process.registry, process.workReports, process.cacheLedger, process.quarantineLedger)
+	process.registerGauges()
+	process.quarantinePersister = process.newQuarantinePersister()
 	process.reflector = process.newReflector()
 	return process, nil
 }
 
-// gauges adds to the metrics what this node knows, and how old that is.
-func (process *process) gauges() {
+// registerGauges registers gauges for the size and age of what this node knows.
+func (process *process) registerGauges() {
 	process.metrics.Gauge("cloverrail_proxy_servers_known", "Servers in the list that this node has.", func() float64 {
-		servers, _ := process.feed.Servers(boottime.Now())
+		servers, _ := process.feed.ServerStats(boottime.Now())
 		return float64(servers)
 	})
 	process.metrics.Gauge("cloverrail_proxy_servers_age_seconds", "Time since the list of servers was certainly current; negative if there is none.", func() float64 {
-		_, age := process.feed.Servers(boottime.Now())
+		_, age := process.feed.ServerStats(boottime.Now())
 		return age.Seconds()
 	})
 	process.metrics.Gauge("cloverrail_proxy_servers_leaving", "Listed servers that have said to this node that they leave.", func() float64 {
-		return float64(process.set.Leaving())
+		return float64(process.serverSet.CountDraining())
 	})
 	process.metrics.Gauge("cloverrail_proxy_servers_resting", "Servers that have asked this node for rest that is not over.", func() float64 {
-		return float64(len(process.set.Resting(boottime.Now())))
+		return float64(len(process.serverSet.Resting(boottime.Now())))
 	})
 	process.metrics.Gauge("cloverrail_proxy_servers_limited", "Servers that name a limit to this node or to others.", func() float64 {
-		return float64(process.limits.Limited())
+		return float64(process.serverLimits.LimitedCount())
 	})
 	process.metrics.Gauge("cloverrail_proxy_store_era", "Era of the shared store; it rises when the store comes back from an older copy. 0 if it is not known.", func() float64 {
 		return float64(process.eras.Current())
@@ -194,43 +194,43 @@
 	})
 }
 
-// reload reads the settings again. The level of the log takes effect at once; all
-// else is bound to sockets and duties, and takes effect at the next start.
+// reload reads the settings file again. Only the log level takes effect immediately; all other
+// settings are bound to sockets and background tasks and require a restart.
 func (process *process) reload(file string) {
-	given, err := settings.ReadProxy(file)
+	config, err := settings.ReadProxy(file)
 	if err != nil {
 		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
 		return
 	}
-	level, err := zerolog.ParseLevel(given.LogLevel)
+	level, err := zerolog.ParseLevel(config.LogLevel)
 	if err != nil {
 		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
-	rest := given
-	rest.LogLevel = process.settings.LogLevel
-	changed := !reflect.DeepEqual(rest, process.settings)
-	process.log.Info().Str("log_level", given.LogLevel).Bool("takes_a_restart", changed).Msg("settings were read again")
+	sameLogLevel := config
+	sameLogLevel.LogLevel = process.settings.LogLevel
+	changed := !reflect.DeepEqual(sameLogLevel, process.settings)
+	process.log.Info().Str("log_level", config.LogLevel).Bool("takes_a_restart", changed).Msg("settings were read again")
 }
 
-// resize follows the number of nodes in the fleet.
+// resize applies a new number of nodes in the fleet.
 func (process *process) resize(nodes int) {
-	process.recorder.Resized(nodes)
+	process.recorder.FleetResized(nodes)
 	process.retries.Resize(nodes)
-	process.limiter.Resize(nodes)
-	process.limits.Resize(nodes)
-	process.ledger.Resize(nodes)
+	process.tenantLimiter.Resize(nodes)
+	process.serverLimits.Resize(nodes)
+	process.cacheLedger.Resize(nodes)
 }
 
-// publish writes the view of the fleet for nodes that start.
-func (process *process) publish(ctx context.Context, view []byte) error {
+// publishView writes the fleet view that starting nodes bootstrap from.
+func (process *process) publishView(ctx context.Context, view []byte) error {
 	err := process.source.WriteView(ctx, view)
-	process.recorder.Published(err)
+	process.recorder.ViewPublished(err)
 	return err
 }
 
-// distance is 0 within the zone, 1 within the region, and 2 beyond.
+// distance returns 0 within the zone, 1 within the region, and 2 beyond.
 func (process *process) distance(zone string) int {
 	zones := process.settings.Zones
 	switch {
@@ -243,74 +243,74 @@
 	}
 }
 
-func part(whole time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(whole))
+func scale(duration time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(duration))
 }
 
-// newReflector returns what keeps the node's beliefs current.
+// newReflector returns the reflector that keeps the node's replica of the store current.
 func (process *process) newReflector() *reflector.Reflector {
 	bounds := process.settings.Bounds
 	return &reflector.Reflector{
 		Source:   process.source,
-		Peers:    &reflector.Caller{Client: process.peers, Heard: process.recorder.Heard},
-		Belief:   process.belief,
-		Set:      process.set,
+		Peers:    &reflector.PeerClient{Client: process.peers, OnResponse: process.recorder.OnResponse},
+		Replica:  process.replica,
+		Set:      process.serverSet,
 		Registry: process.registry,
 		Feed:     process.feed,
-		Work:     process.work,
-		TakeReport: func(others workshare.Report, now time.Time) {
-			for _, instance := range process.set.TakeWork(others.Work, now) {
-				process.recorder.ToldLeaving(instance)
+		Work:     process.workReports,
+		OnReport: func(others workshare.Report, now time.Time) {
+			for _, instance := range process.serverSet.ApplyPeerWork(others.Work, now) {
+				process.recorder.PeerDraining(instance)
 			}
-			process.limiter.Take(others.Quota, now)
-			process.toldLimits(process.limits.Hear(others.Quota.Rows, now))
+			process.tenantLimiter.SetPeerUsage(others.Quota, now)
+			process.recordPeerLimits(process.serverLimits.SetPeerRows(others.Quota.Rows, now))
 		},
-		Kept:       residency.NewHearer(process.ledger),
-		Quarantine: process.requests,
-		TakeHeld:   process.quarantine.Observe,
-		Recorder:   process.recorder,
-		Eras:       process.eras,
-		Bound:      min(bounds.Configuration, bounds.Drain),
+		Kept:          residency.NewPeerReceiver(process.cacheLedger),
+		Quarantine:    process.quarantineLedger,
+		OnQuarantined: process.quarantinePersister.Observe,
+		Recorder:      process.recorder,
+		Eras:          process.eras,
+		MaxStaleness:  min(bounds.Configuration, bounds.Drain),
 	}
 }
 
-// newQuarantine returns what writes requests that are held off into the store.
-func (process *process) newQuarantine() *quarantine.Keeper {
-	return &quarantine.Keeper{
-		Store:    process.store.WithPurpose("quarantine"),
-		Ledger:   process.requests,
-		Recorder: process.recorder,
-		Prefix:   platform.PrefixHeld,
-		Unsure:   process.unsure,
-		Eligible: func() bool { return process.reflector.Reads() },
-		Turn: func() time.Duration {
-			return time.Duration(process.registry.Rank()) * keepTurn
+// newQuarantinePersister returns the writer of quarantined requests to the store.
+func (process *process) newQuarantinePersister() *quarantine.Persister {
+	return &quarantine.Persister{
+		Store:       process.store.WithPurpose("quarantine"),
+		Ledger:      process.quarantineLedger,
+		Recorder:    process.recorder,
+		Prefix:      platform.PrefixQuarantine,
+		Unconfirmed: process.crashUnconfirmed,
+		Eligible:    func() bool { return process.reflector.Reads() },
+		WriteDelay: func() time.Duration {
+			return time.Duration(process.registry.Rank()) * writeDelayPerRank
 		},
 		Now: boottime.Now,
 	}
 }
 
-// unsure reports whether it is not certain that a server ended at a time: the fleet has not
-// had the time to hear what else ran there, it has answered what was sent later, or it stands
-// in the list though its entry would have lapsed.
-func (process *process) unsure(server uint64, at time.Time) bool {
-	heard := at.Add(proxy.SettleTime + process.reflector.TellTime())
-	lapsed := at.Add(lapseBeats * process.settings.Heartbeat)
-	return boottime.Now().Before(heard) || process.set.AnsweredSince(server, at) ||
-		process.set.Listed(server) && process.reflector.ListedSince(lapsed, at)
+// crashUnconfirmed reports whether it is uncertain that a server crashed at a time: the fleet has
+// not yet learned what else ran there, the server has answered a request that was sent later, or
+// it is still listed although its entry would have expired.
+func (process *process) crashUnconfirmed(server uint64, at time.Time) bool {
+	propagated := at.Add(proxy.LivenessCheckDelay + process.reflector.FleetPropagationDelay())
+	expired := at.Add(entryExpiryHeartbeats * process.settings.Heartbeat)
+	return boottime.Now().Before(propagated) || process.serverSet.AnsweredSince(server, at) ||
+		process.serverSet.Listed(server) && process.reflector.ServersReadSince(expired, at)
 }
 
-// followHolders starts following what those holders of cached parts have that are
-// this node's to ask. It hears of the others from the nodes that ask these.
-func (process *process) followHolders(ctx context.Context) {
-	go residency.FollowAll(ctx, process.ownHolders, func(holder string) *residency.Follower {
-		follower := residency.NewFollower(holder, process.servers, process.ledger, process.recorder)
-		follower.Pace = func() time.Duration { return process.pace(holder) }
-		return follower
+// watchHolders starts watching the cache holders that are assigned to this node. The other nodes
+// report the contents of the holders that they watch.
+func (process *process) watchHolders(ctx context.Context) {
+	go residency.WatchAll(ctx, process.assignedHolders, func(holder string) *residency.Watcher {
+		watcher := residency.NewWatcher(holder, process.serverClient, process.cacheLedger, process.recorder)
+		watcher.MinInterval = func() time.Duration { return process.minCallInterval(holder) }
+		return watcher
 	})
 }
 
-// peerHandler answers other nodes.
+// peerHandler returns the handler of requests from other nodes.
 func (process *process) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+reflector.PathServers, reflector.Handler(process.feed))
@@ -318,78 +318,78 @@
 	return mux
 }
 
-// ownHolders returns the addresses of the engines, and of the stores of kept KV
-// cache, that this node is to ask for what they have.
-func (process *process) ownHolders() []string {
-	belief := process.belief.Load()
-	if belief == nil || belief.Snapshot == nil {
+// assignedHolders returns the addresses of the engines and prefix stores whose cache this node is
+// to watch.
+func (process *process) assignedHolders() []string {
+	replica := process.replica.Load()
+	if replica == nil || replica.Snapshot == nil {
 		return nil
 	}
-	// The fleet asks all engines for what they hold, or of more than the relays can ask in
-	// time those that were used of late.
+	// The fleet watches all engines, or only the recently used ones if there are more than the
+	// relays can poll in time.
 	relays, now := process.registry.Relays(), boottime.Now()
-	most := residency.MostHolders * relays
-	asked := process.set.CountEngines(most, followedLife, now)
-	process.ledger.Lags(residency.WordTime(asked/relays) + process.reflector.HearTime())
+	maxHolders := residency.MaxHolders * relays
+	watched := process.serverSet.CountEngines(maxHolders, engineIdleLimit, now)
+	process.cacheLedger.SetReportDelay(residency.PropagationDelay(watched/relays) + process.reflector.DownstreamDelay())
 	if !process.reflector.Relays() {
 		return nil
 	}
 	var addresses []string
 	ownership := process.registry.Ownership()
-	own := func(address, zone string) {
+	addIfOwned := func(address, zone string) {
 		if ownership.Owns(address, zone) {
 			addresses = append(addresses, address)
 		}
 	}
-	for _, store := range belief.Snapshot.Stores() {
-		own(store.Address, store.Zone)
+	for _, store := range replica.Snapshot.Stores() {
+		addIfOwned(store.Address, store.Zone)
 	}
-	for _, engine := range process.set.Engines(most, followedLife, now) {
-		own(engine.Address, engine.Zone)
+	for _, engine := range process.serverSet.Engines(maxHolders, engineIdleLimit, now) {
+		addIfOwned(engine.Address, engine.Zone)
 	}
 	return addresses
 }
 
-// keep starts the duties that nodes share. The returned channel is closed when
-// they have been handed back after the context's end.
-func (process *process) keep(ctx context.Context) <-chan struct{} {
+// runBackgroundTasks starts registration, the quarantine writer and leader election. The returned
+// channel is closed once all of them have released their store entries after the context ends.
+func (process *process) runBackgroundTasks(ctx context.Context) <-chan struct{} {
 	bounds := process.settings.Bounds
-	handedBack := sync.WaitGroup{}
-	handedBack.Go(func() { process.registry.Run(ctx) })
-	handedBack.Go(func() { process.quarantine.Run(ctx) })
-	keeper := &lease.Keeper{
+	tasks := sync.WaitGroup{}
+	tasks.Go(func() { process.registry.Run(ctx) })
+	tasks.Go(func() { process.quarantinePersister.Run(ctx) })
+	elector := &lease.Elector{
 		Store: process.store.WithPurpose("duty"),
-		Duty: &rollout.Duty{
-			Belief:   process.belief,
-			Set:      process.set,
-			Servers:  process.servers,
-			Recorder: process.recorder,
-			Holder:   process.settings.Name,
-			Bound:    bounds.Weights,
-			Notice:   process.reflector.HearTime,
-			Pace: func(server backend.Server) time.Duration {
-				return process.limits.Pace(backend.ServerKey(server.Incarnation()), boottime.Now())
+		Task: &rollout.Controller{
+			Replica:          process.replica,
+			Set:              process.serverSet,
+			Servers:          process.serverClient,
+			Recorder:         process.recorder,
+			Holder:           process.settings.Name,
+			MaxStaleness:     bounds.Weights,
+			PropagationDelay: process.reflector.DownstreamDelay,
+			MinInterval: func(server backend.Server) time.Duration {
+				return process.serverLimits.MinInterval(backend.ServerKey(server.Incarnation()), boottime.Now())
 			},
-			Tell: process.reflector.TakeLoads,
+			Broadcast: process.reflector.ApplyLoads,
 		},
-		Recorder: process.recorder,
-		Name:     process.settings.Name,
-		Key:      platform.KeyRollout,
-		KeyState: platform.KeyRolloutState,
-		Life:     max(process.settings.StoreLeastLease, part(bounds.HolderChange, leasePart)),
-		Settling: bounds.HolderChange,
-		Delay: func() time.Duration {
-			return time.Duration(process.registry.Rank())*turnPerRank + rand.N(turnPerRank)
+		Recorder:      process.recorder,
+		Name:          process.settings.Name,
+		Key:           platform.KeyRollout,
+		StateKey:      platform.KeyRolloutState,
+		TTL:           max(process.settings.MinStoreLease, scale(bounds.LeaderHandover, leaseFraction)),
+		HandoverDelay: bounds.LeaderHandover,
+		CampaignDelay: func() time.Duration {
+			return time.Duration(process.registry.Rank())*campaignDelayPerRank + rand.N(campaignDelayPerRank)
 		},
 		Eligible:  process.reflector.Reads,
 		Exists:    process.registry.Exists,
 		FirstSeen: process.registry.FirstSeen,
 		Eras:      process.eras,
 	}
-	handedBack.Go(func() { keeper.Run(ctx) })
+	tasks.Go(func() { elector.Run(ctx) })
 	done := make(chan struct{})
 	go func() {
-		handedBack.Wait()
+		tasks.Wait()
 		close(done)
 	}()
 	return done
--- a/cmd/cloverrail/proxy.go
+++ b/cmd/cloverrail/proxy.go
@@ -23,7 +23,7 @@
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	shutdownTimeout   = 400 * time.Millisecond
-	collectorPercent  = 50
+	gcPercent         = 50
 )
 
 // proxyCommand returns the command that serves opaque services on the platform.
@@ -39,11 +39,11 @@
 			&cli.StringFlag{Name: "settings", Usage: "settings `FILE`", Required: true, Sources: cli.EnvVars("CLOVERRAIL_SETTINGS")},
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
-			given, err := settings.ReadProxy(command.String("settings"))
+			config, err := settings.ReadProxy(command.String("settings"))
 			if err != nil {
 				return err
 			}
-			return runProxy(ctx, given, command.String("settings"))
+			return runProxy(ctx, config, command.String("settings"))
 		},
 	}
 }
@@ -58,62 +58,62 @@
 	return server, nil
 }
 
-// runProxy serves until it is told to stop, and then stops as planned.
-func runProxy(ctx context.Context, given settings.Proxy, file string) error {
+// runProxy serves until a stop signal arrives, and then shuts down gracefully.
+func runProxy(ctx context.Context, config settings.Proxy, file string) error {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
-	process, err := newProcess(given)
+	process, err := newProcess(config)
 	if err != nil {
 		return err
 	}
-	told, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	stopSignal, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go process.reflector.Run(ctx)
-	process.followHolders(ctx)
-	keeping, handBack := context.WithCancel(ctx)
-	defer handBack()
-	handedBack := process.keep(keeping)
+	process.watchHolders(ctx)
+	taskContext, stopTasks := context.WithCancel(ctx)
+	defer stopTasks()
+	tasksDone := process.runBackgroundTasks(taskContext)
 	ready := func() bool { return !process.stopping.Load() && process.proxy.Ready(boottime.Now()) }
-	if _, err := serve(given.ReadinessAddress, platform.ReadinessHandler(ready)); err != nil {
+	if _, err := serve(config.ReadinessAddress, platform.ReadinessHandler(ready)); err != nil {
 		return err
 	}
-	if _, err := serve(given.PeerAddress, process.peerHandler()); err != nil {
+	if _, err := serve(config.PeerAddress, process.peerHandler()); err != nil {
 		return err
 	}
-	if given.MetricsAddress != "" {
-		if _, err := serve(given.MetricsAddress, promhttp.HandlerFor(process.metrics.Registry, promhttp.HandlerOpts{})); err != nil {
+	if config.MetricsAddress != "" {
+		if _, err := serve(config.MetricsAddress, promhttp.HandlerFor(process.metrics.Registry, promhttp.HandlerOpts{})); err != nil {
 			return err
 		}
 	}
-	callers, err := serve(given.CallerAddress, &platform.Ingress{Proxy: process.proxy, Stopping: process.stopping.Load})
+	clientServer, err := serve(config.CallerAddress, &platform.Ingress{Proxy: process.proxy, Stopping: process.stopping.Load})
 	if err != nil {
 		return err
 	}
-	process.log.Info().Str("zone", given.Zone).Msg("started")
+	process.log.Info().Str("zone", config.Zone).Msg("started")
 	for running := true; running; {
 		select {
 		case <-hangups:
 			process.reload(file)
-		case <-told.Done():
+		case <-stopSignal.Done():
 			running = false
 		}
 	}
 	process.stopping.Store(true)
 	process.log.Info().Int("open", process.proxy.Open()).Msg("stopping")
-	// Duties go on while open requests are waited for: a change of their holder
-	// costs the fleet more than a late one.
-	process.proxy.Drain(ctx, given.Grace)
-	handBack()
-	ending, cancel := context.WithTimeout(ctx, shutdownTimeout)
+	// Background tasks continue while open requests drain: a change of leader is more expensive
+	// for the fleet than a late one.
+	process.proxy.Drain(ctx, config.Grace)
+	stopTasks()
+	shutdownContext, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	_ = callers.Shutdown(ending)
+	_ = clientServer.Shutdown(shutdownContext)
 	select {
-	case <-handedBack:
-	case <-ending.Done():
+	case <-tasksDone:
+	case <-shutdownContext.Done():
 	}
 	process.log.Info().Msg("stopped")
 	return nil
--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -17,7 +17,7 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-func TestARequestReachesItsServerUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	server := plainServer("i-1", standin.Answers(http.StatusCreated, "done"))
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/once/a%2Fb/../c?x=1&y=%20", "turn", func(request *http.Request) {
@@ -47,7 +47,7 @@
 	require.LessOrEqual(t, left, 15000)
 }
 
-func TestWhatMayNotBeRepeatedRunsOnce(t *testing.T) {
+func TestNonIdempotentRequestRunsOnce(t *testing.T) {
 	for name, manner := range map[string]standin.Manner{
 		"dies": standin.Dies, "crosses": standin.Crosses, "unsigned": standin.Unsigned, "encodes": standin.Encodes,
 	} {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWhatMayBeRepeatedIsAnsweredByAnother(t *testing.T) {
+func TestIdempotentRequestIsRetriedOnAnotherServer(t *testing.T) {
 	for name, manner := range map[string]standin.Manner{
 		"dies": standin.Dies, "crosses": standin.Crosses, "unsigned": standin.Unsigned, "encodes": standin.Encodes,
 		"fails": standin.Answers(http.StatusInternalServerError, "sorry"), "sheds": standin.Sheds,
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestARefusalByEveryServerIsAPromise(t *testing.T) {
+func TestRefusalByAllServersGuaranteesNotRun(t *testing.T) {
 	server := plainServer("i-1", standin.Sheds)
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
@@ -92,7 +92,7 @@
 	require.Zero(t, server.Runs())
 }
 
-func TestAServersOwnFailureIsPassedOn(t *testing.T) {
+func TestServerErrorIsForwarded(t *testing.T) {
 	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusInternalServerError, "sorry")))
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusInternalServerError, got.status)
@@ -100,54 +100,54 @@
 	require.Equal(t, "i-1.stamp", got.header.Get(standin.HeaderStamp))
 }
 
-func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	fixture := newFixture(t).serve(
 		engine("i-1", standin.Streams(6, 3)), engine("i-2", standin.Streams(6, 5)), engine("i-3", standin.Streams(6, 0)))
 	for range 5 {
-		got := fixture.send(http.MethodPost, "/stream/", "prompt", prompt)
+		got := fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status)
-		require.Equal(t, events(6), got.body, "no event twice, none missing")
+		require.Equal(t, eventText(6), got.body, "no event twice, none missing")
 	}
 }
 
-func TestABrokenStreamThatCannotGoOnIsCut(t *testing.T) {
+func TestBrokenNonResumableStreamIsAborted(t *testing.T) {
 	fixture := newFixture(t).serve(engine("i-1", standin.Streams(6, 3)), engine("i-2", standin.Streams(6, 3)))
-	got := fixture.send(http.MethodPost, "/fixed/", "prompt", prompt)
+	got := fixture.send(http.MethodPost, "/fixed/", "prompt", setPromptHeaders)
 	require.Error(t, got.err, "it must not look complete")
-	require.Equal(t, events(2), got.body)
+	require.Equal(t, eventText(2), got.body)
 }
 
-func TestACallerResumesAStreamItself(t *testing.T) {
+func TestClientResumesStream(t *testing.T) {
 	server := engine("i-1", standin.Streams(4, 0))
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/stream/", "prompt", func(request *http.Request) {
-		prompt(request)
+		setPromptHeaders(request)
 		request.Header.Set(standin.HeaderLastEvent, "2")
 	})
-	require.Equal(t, events(4)[len(events(2)):], got.body)
+	require.Equal(t, eventText(4)[len(eventText(2)):], got.body)
 	require.Equal(t, "2", server.Arrivals()[0].Header.Get(standin.HeaderLastEvent))
 }
 
-func TestPromptsCarryWallAndVersion(t *testing.T) {
+func TestPromptsCarryCacheSaltAndVersion(t *testing.T) {
 	server := engine("i-1", standin.Streams(1, 0))
 	fixture := newFixture(t).serve(server)
-	fixture.send(http.MethodPost, "/stream/", "prompt", prompt)
+	fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 	fixture.send(http.MethodPost, "/stream/", "prompt", func(request *http.Request) {
-		prompt(request)
+		setPromptHeaders(request)
 		request.Header.Set("Authorization", "Bearer key-of-two")
 	})
 	arrivals := server.Arrivals()
 	require.Len(t, arrivals, 2)
-	shared, walled := arrivals[0].Header, arrivals[1].Header
+	shared, isolated := arrivals[0].Header, arrivals[1].Header
 	require.NotEmpty(t, shared.Get(standin.HeaderSalt))
-	require.NotEqual(t, shared.Get(standin.HeaderSalt), walled.Get(standin.HeaderSalt), "tenant two is isolated")
+	require.NotEqual(t, shared.Get(standin.HeaderSalt), isolated.Get(standin.HeaderSalt), "tenant two is isolated")
 	require.Equal(t, "1", shared.Get(standin.HeaderExpectVersion))
-	require.Equal(t, keptAddress, shared.Get(standin.HeaderFetch))
+	require.Equal(t, prefixStoreAddress, shared.Get(standin.HeaderFetch))
 	require.Equal(t, "5c1e:800,91bd:410,e440:250", shared.Get(standin.HeaderPromptPrefix))
 }
 
-func TestWhatIsWrongIsRefusedAtOnce(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
 	fixture := newFixture(t)
 	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/again/", "", nil).status, "nothing is declared yet")
@@ -163,14 +163,17 @@
 		change     func(*http.Request)
 		status     int
 	}{
-		"no key":        {"/once/", "", without("Authorization"), http.StatusUnauthorized},
-		"unknown key":   {"/once/", "", with("Authorization", "Bearer x"), http.StatusUnauthorized},
-		"no route":      {"/none/", "", nil, http.StatusNotFound},
-		"no id":         {"/once/", "", without(standin.HeaderRequestID), http.StatusBadRequest},
-		"bad deadline":  {"/once/", "", with(standin.HeaderDeadline, "soon"), http.StatusBadRequest},
-		"long body":     {"/once/", strings.Repeat("x", 1001), nil, http.StatusRequestEntityTooLarge},
-		"long head":     {"/once/", "", with("X-Long", strings.Repeat("x", 5000)), http.StatusRequestHeaderFieldsTooLarge},
-		"broken prompt": {"/stream/", "", func(request *http.Request) { prompt(request); request.Header.Set(standin.HeaderPromptPrefix, "a") }, http.StatusBadRequest},
+		"no key":       {"/once/", "", without("Authorization"), http.StatusUnauthorized},
+		"unknown key":  {"/once/", "", with("Authorization", "Bearer x"), http.StatusUnauthorized},
+		"no route":     {"/none/", "", nil, http.StatusNotFound},
+		"no id":        {"/once/", "", without(standin.HeaderRequestID), http.StatusBadRequest},
+		"bad deadline": {"/once/", "", with(standin.HeaderDeadline, "soon"), http.StatusBadRequest},
+		"long body":    {"/once/", strings.Repeat("x", 1001), nil, http.StatusRequestEntityTooLarge},
+		"long head":    {"/once/", "", with("X-Long", strings.Repeat("x", 5000)), http.StatusRequestHeaderFieldsTooLarge},
+		"broken prompt": {"/stream/", "", func(request *http.Request) {
+			setPromptHeaders(request)
+			request.Header.Set(standin.HeaderPromptPrefix, "a")
+		}, http.StatusBadRequest},
 	} {
 		require.Equal(t, one.status, fixture.send(http.MethodPost, one.path, one.body, one.change).status, name)
 	}
@@ -178,7 +181,7 @@
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/open/", "", without("Authorization")).status, "the route is public")
 }
 
-func TestARemovedKeyStopsWorking(t *testing.T) {
+func TestRemovedKeyIsRejected(t *testing.T) {
 	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
 	fixture := newFixture(t).serve(server)
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status)
@@ -186,7 +189,7 @@
 	require.Equal(t, http.StatusUnauthorized, fixture.send(http.MethodGet, "/again/", "", nil).status)
 }
 
-func TestATenantBeyondItsLimitIsRefusedAsNotRun(t *testing.T) {
+func TestTenantOverLimitIsRejectedAsNotRun(t *testing.T) {
 	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
 	fixture := newFixture(t).serve(server)
 	limited := func(request *http.Request) { request.Header.Set("Authorization", "Bearer "+limitedKey) }
@@ -208,12 +211,12 @@
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status, "other tenants are not concerned")
 }
 
-func TestWhatOnlyTheSystemMaySetIsNotTakenFromCallers(t *testing.T) {
+func TestInternalHeadersFromClientsAreDropped(t *testing.T) {
 	server := engine("i-1", standin.Streams(3, 0))
 	fixture := newFixture(t).serve(server)
 	forged := standin.SystemHeaders()
 	got := fixture.send(http.MethodPost, "/stream/", "", func(request *http.Request) {
-		prompt(request)
+		setPromptHeaders(request)
 		for name, value := range forged {
 			request.Header.Set(name, value)
 		}
@@ -227,55 +230,55 @@
 	}
 }
 
-func TestANodeThatCannotReadKeysServesOnlyWhatNeedsNone(t *testing.T) {
+func TestNodeWithStaleKeysServesOnlyPublicRoutes(t *testing.T) {
 	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
 	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Mute })
-	fixture.until(func() bool {
+	fixture.waitUntil(func() bool {
 		return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusServiceUnavailable
 	})
 	require.False(t, fixture.process.proxy.Ready(time.Now()))
 	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may exist by now")
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/open/", "", nil).status)
 	fixture.store.SetHarm(nil)
-	fixture.until(func() bool { return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusOK })
+	fixture.waitUntil(func() bool { return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusOK })
 }
 
-func TestUnreadableEntriesStopNothing(t *testing.T) {
+func TestUnreadableEntriesAreSkipped(t *testing.T) {
 	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
 	fixture.store.Put(standin.PrefixServers+"i-broken", "not an entry")
 	fixture.store.PutVersion("x", 7)
 	fixture.store.Put(standin.KeyConfiguration, "not a document")
-	fixture.add(plainServer("i-2", standin.Answers(http.StatusOK, "done")))
-	fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == 2 })
+	fixture.addServer(plainServer("i-2", standin.Answers(http.StatusOK, "done")))
+	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 2 })
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last good declaration stays")
 }
 
-func TestALeavingServerGetsNothingNew(t *testing.T) {
-	leaving := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
+	draining := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
 	staying := plainServer("i-2", standin.Answers(http.StatusOK, "done"))
-	fixture := newFixture(t).serve(leaving, staying)
-	fixture.list(leaving, "127.0.0.1:9", "draining")
-	fixture.until(func() bool {
-		server, found := fixture.known("i-1")
+	fixture := newFixture(t).serve(draining, staying)
+	fixture.registerServer(draining, "127.0.0.1:9", "draining")
+	fixture.waitUntil(func() bool {
+		server, found := fixture.listedServer("i-1")
 		return found && server.Draining
 	})
-	before := len(leaving.Arrivals())
+	before := len(draining.Arrivals())
 	for range 10 {
 		require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status)
 	}
-	require.Len(t, leaving.Arrivals(), before)
+	require.Len(t, draining.Arrivals(), before)
 }
 
-func TestAReusedAddressIsNoticedBeforeAnythingRuns(t *testing.T) {
+func TestReusedAddressIsDetectedBeforeRunning(t *testing.T) {
 	other := plainServer("i-other", standin.Answers(http.StatusOK, "wrong"))
 	fixture := newFixture(t)
-	fixture.add(other)
+	fixture.addServer(other)
 	fixture.declare(key)
-	fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == 1 })
-	server, _ := fixture.known("i-other")
+	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 1 })
+	server, _ := fixture.listedServer("i-other")
 	fixture.store.Put(standin.PrefixServers+"i-gone", plainServer("i-gone", nil).Entry("plain", server.Address, "a", "ready"))
 	fixture.store.Remove(standin.PrefixServers + "i-other")
-	fixture.until(func() bool { _, found := fixture.known("i-gone"); return found })
+	fixture.waitUntil(func() bool { _, found := fixture.listedServer("i-gone"); return found })
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Zero(t, other.Runs())
@@ -291,8 +294,8 @@
 	fixture := newFixture(t).serve(servers...)
 	for version := int64(2); version <= 3; version++ {
 		fixture.store.NameVersion(model, version)
-		fixture.until(func() bool {
-			got := fixture.send(http.MethodPost, "/stream/", "prompt", prompt)
+		fixture.waitUntil(func() bool {
+			got := fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 			require.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, got.status)
 			for _, server := range servers {
 				if server.Version() != version {
@@ -307,7 +310,7 @@
 	}
 }
 
-func TestTheRoutesTimeEndsARequest(t *testing.T) {
+func TestRouteTimeoutEndsRequest(t *testing.T) {
 	server := plainServer("i-1", standin.Hangs)
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/short/", "turn", nil)
@@ -315,7 +318,7 @@
 	require.Empty(t, got.header.Get("Retry-After"))
 }
 
-func TestACallerWhoLeavesEndsTheWork(t *testing.T) {
+func TestClientDisconnectCancelsServerRequest(t *testing.T) {
 	ended := make(chan struct{})
 	server := plainServer("i-1", func(_ *standin.Server, _ http.ResponseWriter, request *http.Request) {
 		<-request.Context().Done()
@@ -324,14 +327,14 @@
 	fixture := newFixture(t).serve(server)
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
-		fixture.until(func() bool { return len(server.Arrivals()) == 1 })
+		fixture.waitUntil(func() bool { return len(server.Arrivals()) == 1 })
 		leave()
 	}()
 	fixture.send(http.MethodPost, "/once/", "turn", func(request *http.Request) { *request = *request.WithContext(ctx) })
 	<-ended
 }
 
-func TestSettingsAreReadAgainAndFaultyOnesStopNothing(t *testing.T) {
+func TestReloadIgnoresInvalidSettings(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
 	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
 	file := filepath.Join(t.TempDir(), "proxy.yaml")
@@ -345,12 +348,12 @@
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status)
 }
 
-func TestAPlannedStopEndsWhatIsOpenWithAnAnswer(t *testing.T) {
+func TestGracefulStopAnswersOpenRequests(t *testing.T) {
 	server := plainServer("i-1", standin.Hangs)
 	fixture := newFixture(t).serve(server)
-	answers := make(chan answer)
+	answers := make(chan clientResult)
 	go func() { answers <- fixture.send(http.MethodPost, "/once/", "turn", nil) }()
-	fixture.until(func() bool { return len(server.Arrivals()) == 1 })
+	fixture.waitUntil(func() bool { return len(server.Arrivals()) == 1 })
 	fixture.process.stopping.Store(true)
 	fixture.process.proxy.Drain(context.Background(), 0)
 	got := <-answers
@@ -359,21 +362,21 @@
 	require.True(t, got.closes, "the next request goes elsewhere")
 }
 
-func TestWhatAnEngineHoldsIsLearnedFromItselfAndLostWithItsWeights(t *testing.T) {
+func TestEngineCacheIsWatchedAndDroppedOnNewWeights(t *testing.T) {
 	server := engine("i-1", standin.Streams(2, 0))
 	server.LoadTime = 20 * time.Millisecond
 	fixture := newFixture(t).serve(server)
-	fixture.process.followHolders(t.Context())
-	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/stream/", "prompt", prompt).status)
-	known, _ := fixture.known("i-1")
+	fixture.process.watchHolders(t.Context())
+	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders).status)
+	known, _ := fixture.listedServer("i-1")
 	arrivals := server.Arrivals()
 	salt := arrivals[len(arrivals)-1].Header.Get(standin.HeaderSalt)
 	shared := []residency.Piece{{Key: residency.NewKey(salt, "5c1e"), Tokens: 800}}
-	// Another incarnation's name: what this node sent does not count.
-	held := func() int { return fixture.process.ledger.Held(known.Address, "told", shared, time.Now()) }
-	fixture.until(func() bool { return held() == 800 })
+	// Uses the name of another incarnation, for which this node has sent nothing that would count.
+	held := func() int { return fixture.process.cacheLedger.CachedTokens(known.Address, "told", shared, time.Now()) }
+	fixture.waitUntil(func() bool { return held() == 800 })
 	fixture.store.NameVersion(model, 2)
-	fixture.until(func() bool { return held() == 0 })
+	fixture.waitUntil(func() bool { return held() == 0 })
 	for _, arrival := range server.Arrivals() {
 		require.NotContains(t, arrival.Target, "/api/", "a question is no request")
 	}
--- a/cmd/cloverrail/quarantine_test.go
+++ b/cmd/cloverrail/quarantine_test.go
@@ -22,141 +22,132 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: a request ended three servers of a service and went on to be sent to
-// servers, 14 times more; 23 ended in all, and took with them all that they ran.
-//
-// How: its caller came again and again, at any node. Attempts were counted within one try
-// alone, and each try was a new request to every node, the one that had just seen a server
-// end under it included. Of servers a fleet believed much (which fail, which rest); of
-// requests, nothing.
-//
-// Cause: what a request has done was not remembered beyond the request and the node.
-//
-// Proof: lines of attempts that broke show one fingerprint, the same caller, method, host,
-// target and body, at each server's end, and the tests below, which send such a request to
-// the nodes in turn.
+// These tests guard against a request that crashes every server that runs it. Its client retries
+// at any node, and each retry used to be a new request without history: after three crashes one
+// such request was sent 14 more times and took down 23 servers in all, with everything they ran.
+// The retries share one fingerprint: client, method, host, target and body.
 
 const (
-	deadly = "deadly"
-	// contact is the time in which all nodes have heard what one of them knows.
-	contact = 3 * time.Second
-	// enoughEnds servers that ended under a request are enough to hold it off, and
-	// fewMore tries may still reach a server after that and the time of contact.
-	enoughEnds = 3
-	fewMore    = 3
+	crashingBody = "deadly"
+	// propagationTime is the time within which all nodes learn what one of them knows.
+	propagationTime = 3 * time.Second
+	// crashThreshold is the number of crashes after which a request is quarantined;
+	// maxLateAttempts may still reach a server more than propagationTime after that.
+	crashThreshold  = 3
+	maxLateAttempts = 3
 )
 
-// ends returns when runs of the deadly body began that ended a server, in order, and how
-// many arrivals of it there were.
-func (f *fleetFixture) ends(body string) (begun []time.Time) {
+// crashTimes returns the start times of the runs of a body that crashed a server.
+func (f *fleetFixture) crashTimes(body string) (begun []time.Time) {
 	for _, m := range f.machines {
-		for _, end := range m.Ends() {
-			if end.Body == body {
-				begun = append(begun, end.Begun)
+		for _, crash := range m.Ends() {
+			if crash.Body == body {
+				begun = append(begun, crash.Begun)
 			}
 		}
 	}
 	return begun
 }
 
-// kinds are the kinds of route: what may run once, what may run again, a stream that may
-// be resumed and one that may not.
-var kinds = map[string]func(*http.Request){"once": nil, "again": nil, "stream": prompt, "fixed": prompt}
+// routeKinds holds the kinds of route with the change that their requests need: non-idempotent,
+// idempotent, resumable stream and plain stream.
+var routeKinds = map[string]func(*http.Request){"once": nil, "again": nil, "stream": setPromptHeaders, "fixed": setPromptHeaders}
 
-// comeAgain sends the deadly body to the nodes in turn until at least a number of tries
-// were made and a time has passed since servers enough have ended. It returns the last
-// answer, and how long that took.
-func (f *fleetFixture) comeAgain(kind, body string, nodes []*fixture) (last answer, took time.Duration) {
-	settled := time.Time{}
-	for try := 0; settled.IsZero() || time.Since(settled) < contact+time.Second; try++ {
+// retryUntilQuarantined sends a crashing body to the nodes in turn until a second more than
+// propagationTime has passed since the crash threshold was reached. It returns the last result and
+// how long that took.
+func (f *fleetFixture) retryUntilQuarantined(kind, body string, nodes []*fixture) (last clientResult, elapsed time.Duration) {
+	quarantinedAt := time.Time{}
+	for attempt := 0; quarantinedAt.IsZero() || time.Since(quarantinedAt) < propagationTime+time.Second; attempt++ {
 		begun := time.Now()
-		last = nodes[try%len(nodes)].send(http.MethodPost, "/"+kind+"/x", body, kinds[kind])
-		took = time.Since(begun)
-		if settled.IsZero() && len(f.ends(body)) >= enoughEnds {
-			settled = time.Now()
+		last = nodes[attempt%len(nodes)].send(http.MethodPost, "/"+kind+"/x", body, routeKinds[kind])
+		elapsed = time.Since(begun)
+		if quarantinedAt.IsZero() && len(f.crashTimes(body)) >= crashThreshold {
+			quarantinedAt = time.Now()
 		}
-		require.Less(f.t, try, 300, "the request never ended servers enough")
+		require.Less(f.t, attempt, 300, "the request never ended servers enough")
 		time.Sleep(100 * time.Millisecond)
 	}
-	return last, took
+	return last, elapsed
 }
 
-// requireHeldOff checks that hardly a try reached a server once all could know.
-func (f *fleetFixture) requireHeldOff(body string) {
-	begun := f.ends(body)
+// requireQuarantined checks that at most maxLateAttempts reached a server once all nodes could know
+// of the crashes.
+func (f *fleetFixture) requireQuarantined(body string) {
+	begun := f.crashTimes(body)
 	slices.SortFunc(begun, time.Time.Compare)
-	third := begun[enoughEnds-1]
+	thresholdReached := begun[crashThreshold-1]
 	late := 0
 	for _, at := range begun {
-		if at.After(third.Add(contact)) {
+		if at.After(thresholdReached.Add(propagationTime)) {
 			late++
 		}
 	}
-	require.LessOrEqual(f.t, late, fewMore, "of %d servers that ended in all", len(begun))
+	require.LessOrEqual(f.t, late, maxLateAttempts, "of %d servers that ended in all", len(begun))
 }
 
-// requireNoMore sends the body to a node some times and checks that hardly a try reaches a
-// server, and that the last one is refused as not run.
-func (f *fleetFixture) requireNoMore(n *fixture, kind, body string) {
-	before, last := len(f.ends(body)), answer{}
-	for range 3 * fewMore {
-		last = n.send(http.MethodPost, "/"+kind+"/x", body, kinds[kind])
+// requireRejected sends a body to a node repeatedly, and checks that at most maxLateAttempts reach a
+// server and that the last one is rejected as not run.
+func (f *fleetFixture) requireRejected(n *fixture, kind, body string) {
+	before, last := len(f.crashTimes(body)), clientResult{}
+	for range 3 * maxLateAttempts {
+		last = n.send(http.MethodPost, "/"+kind+"/x", body, routeKinds[kind])
 		time.Sleep(100 * time.Millisecond)
 	}
-	require.LessOrEqual(f.t, len(f.ends(body))-before, fewMore)
+	require.LessOrEqual(f.t, len(f.crashTimes(body))-before, maxLateAttempts)
 	require.Equal(f.t, http.StatusServiceUnavailable, last.status)
 	require.Contains(f.t, last.body, string(failure.KindHeldOff))
 }
 
-func TestOneNodeAloneHoldsOffWhatEndsServers(t *testing.T) {
+func TestSingleNodeQuarantinesCrashingRequest(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 6)
-	f.comeAgain("fixed", deadly, f.nodes)
-	f.requireHeldOff(deadly)
+	f.retryUntilQuarantined("fixed", crashingBody, f.nodes)
+	f.requireQuarantined(crashingBody)
 }
 
-// What a request has done outlives the nodes that saw it: one that starts later hears it
-// from others, and a fleet of which all nodes are replaced finds it in the store.
-func TestWhatARequestHasDoneOutlivesTheNodesThatSawIt(t *testing.T) {
+// Guards against losing a quarantine with the nodes that saw the crashes: a node that starts later
+// learns it from its peers, and a fleet whose nodes are all replaced reads it from the store.
+func TestQuarantineOutlivesReportingNodes(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
-	f.comeAgain("fixed", deadly, f.nodes)
-	f.requireHeldOff(deadly)
-	later := f.join()
-	f.await(later)
-	f.requireNoMore(later, "fixed", deadly)
-	f.nodes[0].until(func() bool { return len(f.store.Keys(platform.PrefixHeld)) == 1 })
+	f.retryUntilQuarantined("fixed", crashingBody, f.nodes)
+	f.requireQuarantined(crashingBody)
+	later := f.addNode()
+	f.awaitReady(later)
+	f.requireRejected(later, "fixed", crashingBody)
+	f.nodes[0].waitUntil(func() bool { return len(f.store.Keys(platform.PrefixQuarantine)) == 1 })
 	for _, n := range f.nodes {
 		n.kill()
-		f.living--
+		f.running--
 	}
 	for range 2 {
-		f.await(f.join())
+		f.awaitReady(f.addNode())
 	}
-	f.requireNoMore(f.nodes[len(f.nodes)-1], "fixed", deadly)
-	f.requireNoMore(f.nodes[len(f.nodes)-2], "fixed", deadly)
+	f.requireRejected(f.nodes[len(f.nodes)-1], "fixed", crashingBody)
+	f.requireRejected(f.nodes[len(f.nodes)-2], "fixed", crashingBody)
 }
 
-// A node that was cut off, and suspended besides, while the others found out hears it when
-// it is back.
-func TestANodeThatWasCutOffAndSuspendedHearsWhatARequestHasDone(t *testing.T) {
+// Guards against a node that misses a quarantine because it was partitioned and suspended while
+// the others learned of it.
+func TestPartitionedAndSuspendedNodeLearnsQuarantine(t *testing.T) {
 	machine, restore := suspension.Begin()
 	f := newFleet(t, 3, 8)
 	t.Cleanup(restore)
-	away := f.nodes[2]
-	away.cut(true)
-	f.comeAgain("fixed", deadly, f.nodes[:2])
-	f.requireHeldOff(deadly)
+	partitioned := f.nodes[2]
+	partitioned.setIsolated(true)
+	f.retryUntilQuarantined("fixed", crashingBody, f.nodes[:2])
+	f.requireQuarantined(crashingBody)
 	machine.Suspend(20 * time.Second)
-	away.cut(false)
-	time.Sleep(contact)
-	f.requireNoMore(away, "fixed", deadly)
-	f.requireNoMore(f.nodes[0], "fixed", deadly)
+	partitioned.setIsolated(false)
+	time.Sleep(propagationTime)
+	f.requireRejected(partitioned, "fixed", crashingBody)
+	f.requireRejected(f.nodes[0], "fixed", crashingBody)
 }
 
-// Requests that run beside the ends of servers are served in the end, and a popular one
-// that always runs beside some end is never held off.
-func TestWhatRunsBesideTheEndsOfServersIsServed(t *testing.T) {
+// Guards against quarantining bystanders: requests that run on a crashing server are served
+// eventually, and a popular one that is running at almost every crash is never quarantined.
+func TestBystandersOfCrashesAreServed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
 	for _, m := range f.machines {
@@ -165,29 +156,29 @@
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	var served, unserved, wrongly atomic.Int64
+	var served, unserved, falselyQuarantined atomic.Int64
 	callers := sync.WaitGroup{}
 	for caller := range 6 {
 		callers.Go(func() {
 			for request := 0; ctx.Err() == nil; request++ {
-				// Half of them send one popular request, the others each time another.
+				// Half of the clients send one popular request, the others a new one each time.
 				body := "popular"
 				if caller%2 == 0 {
 					body = fmt.Sprintf("request %d of %d", request, caller)
 				}
-				whole := false
-				for try := 0; try < 6 && !whole; try++ {
-					got := f.nodes[(caller+try)%len(f.nodes)].send(http.MethodPost, "/fixed/x", body, prompt)
-					whole = got.err == nil && got.status == http.StatusOK
-					if !whole {
-						// Some longer than a refusal asks for.
+				complete := false
+				for try := 0; try < 6 && !complete; try++ {
+					got := f.nodes[(caller+try)%len(f.nodes)].send(http.MethodPost, "/fixed/x", body, setPromptHeaders)
+					complete = got.err == nil && got.status == http.StatusOK
+					if !complete {
+						// Slightly longer than the Retry-After of a rejection.
 						time.Sleep(200 * time.Millisecond)
 					}
 					if strings.Contains(got.body, string(failure.KindHeldOff)) {
-						wrongly.Add(1)
+						falselyQuarantined.Add(1)
 					}
 				}
-				if whole {
+				if complete {
 					served.Add(1)
 				} else {
 					unserved.Add(1)
@@ -196,28 +187,22 @@
 		})
 	}
 	for i := range 3 {
-		f.comeAgain("fixed", fmt.Sprint(deadly, i), f.nodes)
-		f.requireHeldOff(fmt.Sprint(deadly, i))
+		f.retryUntilQuarantined("fixed", fmt.Sprint(crashingBody, i), f.nodes)
+		f.requireQuarantined(fmt.Sprint(crashingBody, i))
 	}
 	stop()
 	callers.Wait()
-	require.Zero(t, wrongly.Load(), "held off, and harmless")
+	require.Zero(t, falselyQuarantined.Load(), "held off, and harmless")
 	require.Zero(t, unserved.Load())
 	require.Greater(t, served.Load(), int64(50))
 }
 
-// The incident: a popular request, harmless, was refused as held off 180 times.
-//
-// How: it has the prompt of one that ends servers, so that both are sent to the engine which has
-// that prompt cached, time and again. Its answer takes longer than the engines last, so no whole
-// answer clears it, and by the time the one to blame is held off it has as many ends.
-//
-// Cause: the ends of servers are counted, and what always runs side by side has the same count.
-// Nothing was done to tell such requests apart; both were held off for ten minutes.
-//
-// Proof: the lines of attempts that broke show both fingerprints at each engine, and this test, in
-// which answers take long and nothing else is sent.
-func TestALongRequestThatRanBesideTheEndsOfServersIsServed(t *testing.T) {
+// Guards against quarantining a long harmless request that shares its prompt with a crashing one.
+// Prompt affinity sends both to the same engine, and the harmless one never completes and clears
+// itself before the crash, so both reach the same crash count. Unless they are told apart, both
+// are quarantined for ten minutes; this once rejected a harmless request 180 times. Here responses
+// are long and no other requests are sent.
+func TestLongBystanderOfCrashesIsServed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
 	for _, m := range f.machines {
@@ -226,14 +211,14 @@
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	var served, wrongly atomic.Int64
+	var served, falselyQuarantined atomic.Int64
 	callers := sync.WaitGroup{}
 	for caller := range 3 {
 		callers.Go(func() {
 			for try := caller; ctx.Err() == nil; try++ {
-				got := f.nodes[try%len(f.nodes)].send(http.MethodPost, "/fixed/x", "popular", prompt)
+				got := f.nodes[try%len(f.nodes)].send(http.MethodPost, "/fixed/x", "popular", setPromptHeaders)
 				if strings.Contains(got.body, string(failure.KindHeldOff)) {
-					wrongly.Add(1)
+					falselyQuarantined.Add(1)
 				}
 				if got.err == nil && got.status == http.StatusOK {
 					served.Add(1)
@@ -243,33 +228,33 @@
 			}
 		})
 	}
-	f.comeAgain("fixed", deadly, f.nodes)
-	f.requireHeldOff(deadly)
+	f.retryUntilQuarantined("fixed", crashingBody, f.nodes)
+	f.requireQuarantined(crashingBody)
 	stop()
 	callers.Wait()
-	require.Zero(t, wrongly.Load(), "held off, and harmless")
+	require.Zero(t, falselyQuarantined.Load(), "held off, and harmless")
 	require.NotZero(t, served.Load())
 }
 
-// That another instance answers at an engine's address is no sign of life of the one that was
-// asked, whatever weights either has.
-func TestAnotherInstanceIsNoSignOfLife(t *testing.T) {
+// Guards against taking a response from another instance at an engine's address, with the same or
+// other weights, as a sign that the requested instance is alive.
+func TestResponseOfOtherInstanceIsNotLiveness(t *testing.T) {
 	t.Parallel()
 	other := engine("i-other", standin.Streams(1, 0))
 	fixture := newFixture(t).serve(other)
-	server, _ := fixture.known("i-other")
+	server, _ := fixture.listedServer("i-other")
 	fixture.store.Put(standin.PrefixServers+"i-gone", engine("i-gone", nil).Entry("engines", server.Address, "a", "ready"))
 	fixture.store.Remove(standin.PrefixServers + "i-other")
-	fixture.until(func() bool { _, found := fixture.known("i-gone"); return found })
+	fixture.waitUntil(func() bool { _, found := fixture.listedServer("i-gone"); return found })
 	before := time.Now()
-	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodPost, "/fixed/x", "prompt", prompt).status)
-	require.False(t, fixture.process.set.AnsweredSince(backend.ServerKey("i-gone"), before))
+	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodPost, "/fixed/x", "prompt", setPromptHeaders).status)
+	require.False(t, fixture.process.serverSet.AnsweredSince(backend.ServerKey("i-gone"), before))
 	require.Zero(t, other.Runs())
 }
 
-// A server may be back at its address before anybody has settled whether it ended: that
-// another instance answers there is no sign of life of the one before.
-func TestServersThatAreBackAtOnceHaveEndedAllTheSame(t *testing.T) {
+// Guards against missing a crash because the server is back at its address before the liveness
+// check: a response from the new instance is no sign that the previous one is alive.
+func TestImmediateRestartCountsAsCrash(t *testing.T) {
 	for _, kind := range []string{"once", "fixed"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -282,45 +267,45 @@
 			for _, n := range f.nodes {
 				callers.Go(func() {
 					for ctx.Err() == nil {
-						n.send(http.MethodPost, "/"+kind+"/x", "harmless", kinds[kind])
+						n.send(http.MethodPost, "/"+kind+"/x", "harmless", routeKinds[kind])
 						time.Sleep(5 * time.Millisecond)
 					}
 				})
 			}
-			f.comeAgain(kind, deadly, f.nodes)
+			f.retryUntilQuarantined(kind, crashingBody, f.nodes)
 			stop()
 			callers.Wait()
-			f.requireHeldOff(deadly)
+			f.requireQuarantined(crashingBody)
 		})
 	}
 }
 
-// A request that the store holds off and that is answered whole after all, since it was
-// under way, is cleared there too.
-func TestAClearedRequestLeavesTheStore(t *testing.T) {
+// Guards against a stale quarantine in the store: a request that completes after all, because it
+// was already in flight, is cleared in the store too.
+func TestClearedRequestIsRemovedFromStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 4)
 	n := f.nodes[0]
-	n.until(func() bool { return n.process.reflector.Reads() })
+	n.waitUntil(func() bool { return n.process.reflector.Reads() })
 	fingerprint := quarantine.Fingerprint(42)
-	for server := range uint64(enoughEnds) {
-		n.process.requests.Suspect(fingerprint)
-		n.process.requests.Settle(fingerprint, server, time.Now(), true, time.Now())
+	for server := range uint64(crashThreshold) {
+		n.process.quarantineLedger.Suspect(fingerprint)
+		n.process.quarantineLedger.Resolve(fingerprint, server, time.Now(), true, time.Now())
 	}
-	kept := func() int { return len(f.store.Keys(platform.PrefixHeld)) }
-	n.until(func() bool { return kept() == 1 })
-	other := f.nodes[1].process.requests
-	f.nodes[1].until(func() bool {
-		return other.Judge(fingerprint, f.nodes[1].process.unsure, time.Now()).Held
+	kept := func() int { return len(f.store.Keys(platform.PrefixQuarantine)) }
+	n.waitUntil(func() bool { return kept() == 1 })
+	other := f.nodes[1].process.quarantineLedger
+	f.nodes[1].waitUntil(func() bool {
+		return other.Evaluate(fingerprint, f.nodes[1].process.crashUnconfirmed, time.Now()).Quarantined
 	})
 	require.True(t, other.Served(fingerprint, time.Now()))
-	n.until(func() bool { return kept() == 0 })
-	require.False(t, n.process.requests.Judge(fingerprint, n.process.unsure, time.Now()).Held)
+	n.waitUntil(func() bool { return kept() == 0 })
+	require.False(t, n.process.quarantineLedger.Evaluate(fingerprint, n.process.crashUnconfirmed, time.Now()).Quarantined)
 }
 
-// Connections may break while their servers live: a server that goes on to answer has not
-// ended, and a request that broke there is served as soon as that is known.
-func TestConnectionsThatBreakHoldOffNothingWhileServersLive(t *testing.T) {
+// Guards against counting broken connections as crashes: a server that still responds has not
+// crashed, and the affected request is served as soon as that is known.
+func TestBrokenConnectionsToLiveServersQuarantineNothing(t *testing.T) {
 	t.Parallel()
 	breaks := atomic.Bool{}
 	breaks.Store(true)
@@ -339,27 +324,28 @@
 		}
 	}
 	breaks.Store(false)
-	fixture.until(func() bool {
+	fixture.waitUntil(func() bool {
 		fixture.send(http.MethodPost, "/once/", "other", nil)
 		return fixture.send(http.MethodPost, "/once/", "turn", nil).status == http.StatusOK
 	})
-	fixture.until(func() bool { return len(fixture.store.Keys(platform.PrefixHeld)) == 0 })
+	fixture.waitUntil(func() bool { return len(fixture.store.Keys(platform.PrefixQuarantine)) == 0 })
 }
 
-// A server that leaves as planned ends what it still runs: that says nothing of the request.
-func TestTheEndOfALeavingServerCountsAgainstNothing(t *testing.T) {
+// Guards against counting a planned shutdown as a crash: a draining server aborts the requests that
+// it still runs.
+func TestPlannedShutdownIsNotACrash(t *testing.T) {
 	t.Parallel()
 	server := plainServer("i-1", nil)
 	fixture := newFixture(t).serve(server, plainServer("i-2", standin.Answers(http.StatusOK, "done")))
 	var address string
-	for _, known := range fixture.process.set.Servers(time.Now()) {
+	for _, known := range fixture.process.serverSet.Servers(time.Now()) {
 		if known.Instance == server.Instance {
 			address = known.Address
 		}
 	}
 	server.SetManner(func(server *standin.Server, _ http.ResponseWriter, _ *http.Request) {
-		fixture.list(server, address, "draining")
-		for fixture.process.set.Stays(server.Instance) {
+		fixture.registerServer(server, address, "draining")
+		for fixture.process.serverSet.InService(server.Instance) {
 			time.Sleep(time.Millisecond)
 		}
 		panic(http.ErrAbortHandler)
@@ -367,34 +353,34 @@
 	for server.Runs() == 0 {
 		fixture.send(http.MethodPost, "/once/", "turn", nil)
 	}
-	require.False(t, fixture.process.requests.Active())
+	require.False(t, fixture.process.quarantineLedger.Active())
 }
 
-// A request that ends the servers that run it is held off over the whole fleet, whatever
-// kind of route it takes, and its callers get a final answer at once that is true.
-func TestARequestThatEndsServersIsHeldOff(t *testing.T) {
-	for kind := range kinds {
+// A request that crashes servers is quarantined fleet-wide on every kind of route, and its clients
+// immediately get a rejection that says that it did not run.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	for kind := range routeKinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 3, 8)
-			last, took := f.comeAgain(kind, deadly, f.nodes)
-			f.requireHeldOff(deadly)
+			last, elapsed := f.retryUntilQuarantined(kind, crashingBody, f.nodes)
+			f.requireQuarantined(crashingBody)
 			require.Equal(t, http.StatusServiceUnavailable, last.status, "not run, and it says so")
 			require.NotEmpty(t, last.header.Get("Retry-After"))
-			require.Less(t, took, time.Second)
+			require.Less(t, elapsed, time.Second)
 			others := sync.WaitGroup{}
 			for name, change := range map[string]struct {
 				path, body string
 				request    func(*http.Request)
 			}{
 				"another body":   {"/" + kind + "/x", "harmless", nil},
-				"another path":   {"/" + kind + "/y", deadly, nil},
-				"another caller": {"/" + kind + "/x", deadly, func(r *http.Request) { r.Header.Set("Authorization", "Bearer key-of-two") }},
+				"another path":   {"/" + kind + "/y", crashingBody, nil},
+				"another caller": {"/" + kind + "/x", crashingBody, func(r *http.Request) { r.Header.Set("Authorization", "Bearer key-of-two") }},
 			} {
 				others.Go(func() {
 					got := f.nodes[0].send(http.MethodPost, change.path, change.body, func(r *http.Request) {
-						if kinds[kind] != nil {
-							kinds[kind](r)
+						if routeKinds[kind] != nil {
+							routeKinds[kind](r)
 						}
 						if change.request != nil {
 							change.request(r)
--- /dev/null
+++ b/cmd/cloverrail/restart_test.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/cloverrail/cloverrail/platform/standin"
+)
+
+// These tests guard against state of a server's previous incarnation being applied to the next
+// one. A server may restart with the same id and address within a heartbeat, so that its entry
+// never expires. Its draining notice, backoff, cache contents and order count were keyed by id
+// alone, and so outlived the restart.
+
+// restartableServer is an address at which successive incarnations of a server run.
+type restartableServer struct {
+	fixture *fixture
+	address string
+	serving *http.Server
+	server  *standin.Server
+}
+
+// start starts the next incarnation under the same id and address, and writes its entry.
+func (r *restartableServer) start(model string, version int64, manner standin.Manner) *standin.Server {
+	if r.serving != nil {
+		_ = r.serving.Close()
+	}
+	listen := r.address
+	if listen == "" {
+		listen = "127.0.0.1:0"
+	}
+	listener, err := net.Listen("tcp", listen)
+	require.NoError(r.fixture.t, err)
+	r.address = listener.Addr().String()
+	r.server = standin.NewServer("i-1", model, version, manner)
+	r.server.Born = time.Now().UnixMilli()
+	r.serving = &http.Server{Handler: r.server}
+	go func(serving *http.Server) { _ = serving.Serve(listener) }(r.serving)
+	r.fixture.t.Cleanup(func() { _ = r.serving.Close() })
+	r.fixture.registerServer(r.server, r.address, "ready")
+	return r.server
+}
+
+// waitForServers writes a declaration, and waits until the node knows a number of servers.
+func (fixture *fixture) waitForServers(servers int) {
+	fixture.declare(key)
+	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == servers })
+}
+
+func TestRestartedServerIsNewIncarnation(t *testing.T) {
+	for name, c := range allCalls {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			fixture := newFixture(t)
+			restartable := &restartableServer{fixture: fixture}
+			served, version := "", int64(0)
+			if c.prompted {
+				served, version = model, 1
+			}
+			first := restartable.start(served, version, succeeds(c))
+			fixture.addServer(newInstance(c, "i-2", succeeds(c)))
+			fixture.waitForServers(2)
+			first.Leave()
+			fixture.requestUntilReached(c, first)
+			fixture.requireNoneReached(c, first, true)
+			time.Sleep(2 * time.Millisecond)
+			second := restartable.start(served, version, succeeds(c))
+			fixture.requestUntilReached(c, second)
+			fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 2 })
+		})
+	}
+	t.Run("orders to a server that has forgotten those before", func(t *testing.T) {
+		t.Parallel()
+		fixture := newFixture(t)
+		restartable := &restartableServer{fixture: fixture}
+		restartable.start(model, 1, succeeds(plainStream))
+		fixture.waitForServers(1)
+		for version := int64(2); version < 5; version++ {
+			fixture.store.NameVersion(model, version)
+			fixture.waitUntil(func() bool { return restartable.server.Version() == version })
+			begun := time.Now()
+			restartable.start(model, version, succeeds(plainStream))
+			fixture.store.NameVersion(model, version+1)
+			fixture.waitUntil(func() bool { return restartable.server.Version() == version+1 })
+			require.Less(t, time.Since(begun), propagationTime, fmt.Sprint(version))
+		}
+	})
+}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestHigherPrioritiesGoFirstAndNobodyIsLost(t *testing.T) {
+func TestQueueServesHigherPrioritiesFirst(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		queue := NewQueue()
 		waiting := map[uint64]Ticket{}
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestBackloggedTenantsAreServedByWeight(t *testing.T) {
+func TestQueueServesBackloggedTenantsByWeight(t *testing.T) {
 	queue := NewQueue()
 	for id := range uint64(300) {
 		queue.Push(Ticket{ID: 2 * id, Tenant: "light", Weight: 1, Cost: 1})
@@ -55,45 +55,47 @@
 	require.InDelta(t, 150, served["heavy"], 2)
 }
 
-func TestLedgerNeverGivesMoreThanTheRate(t *testing.T) {
+func TestTokenIssuerStaysWithinRate(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		begin := now
-		ledger := NewLedger()
+		start := now
+		issuer := NewTokenIssuer()
 		limit := Rate{PerSecond: 10, Burst: 5}
-		given := 0
+		issued := 0
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			given += ledger.Take(now, "t", limit, rapid.IntRange(1, 8).Draw(t, "want"))
-			require.LessOrEqual(t, float64(given), float64(limit.Burst)+limit.PerSecond*now.Sub(begin).Seconds()+1e-6)
+			issued += issuer.Issue(now, "t", limit, rapid.IntRange(1, 8).Draw(t, "want"))
+			require.LessOrEqual(t, float64(issued), float64(limit.Burst)+limit.PerSecond*now.Sub(start).Seconds()+1e-6)
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * time.Millisecond)
 		}
 	})
 }
 
-func TestFallbackStaysWithinTheRateOverAllNodes(t *testing.T) {
+func TestFallbackStaysWithinFleetRate(t *testing.T) {
 	const nodes = 10
 	limit := Rate{PerSecond: 20, Burst: 5}
 	now := time.Unix(0, 0)
-	shares := []*Share{}
+	leases := []*TokenLease{}
 	for range nodes {
-		shares = append(shares, NewShare())
+		leases = append(leases, NewTokenLease())
 	}
-	given := 0
+	granted := 0
 	for range 1000 {
-		for _, share := range shares {
-			if share.SpendFallback(now, limit, nodes) {
-				given++
+		for _, lease := range leases {
+			if lease.SpendFallback(now, limit, nodes) {
+				granted++
 			}
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	// The bound is one token a node on top of the rate.
-	require.LessOrEqual(t, given, nodes+int(limit.PerSecond*10))
+	// Each node's fallback bucket starts with one token, so the bound is the rate plus one
+	// token per node.
+	require.LessOrEqual(t, granted, nodes+int(limit.PerSecond*10))
 }
 
-// served runs tenants' arrivals through the rate limit and the fair queue of a
-// pool in virtual time, and returns the p99 wait of the tenants but the first.
-func servedP99(factor float64) time.Duration {
+// p99Wait simulates tenants' arrivals at the rate limit and the fair queue of a pool in
+// virtual time, where the first tenant sends factor times its rate. It returns the 99th
+// percentile of the other tenants' latencies.
+func p99Wait(factor float64) time.Duration {
 	const (
 		tenants  = 8
 		places   = 24
@@ -104,9 +106,9 @@
 	)
 	random := rand.New(rand.NewPCG(5, 5))
 	now := time.Unix(0, 0)
-	ledger := NewLedger()
+	issuer := NewTokenIssuer()
 	queue := NewQueue()
-	began := map[uint64]time.Time{}
+	arrivedAt := map[uint64]time.Time{}
 	waits := []time.Duration{}
 	ends := []time.Time{}
 	id := uint64(0)
@@ -117,9 +119,9 @@
 				arrivals *= factor
 			}
 			name := string(rune('a' + tenant))
-			if random.Float64() < arrivals && ledger.Take(now, name, Rate{PerSecond: 1.2 * rate, Burst: 12}, 1) == 1 {
+			if random.Float64() < arrivals && issuer.Issue(now, name, Rate{PerSecond: 1.2 * rate, Burst: 12}, 1) == 1 {
 				id++
-				began[id] = now
+				arrivedAt[id] = now
 				queue.Push(Ticket{ID: id, Tenant: name, Weight: 1, Cost: service.Seconds()})
 			}
 		}
@@ -133,7 +135,7 @@
 			}
 			ends = append(ends, now.Add(service))
 			if next.Tenant != "a" {
-				waits = append(waits, now.Sub(began[next.ID])+service)
+				waits = append(waits, now.Sub(arrivedAt[next.ID])+service)
 			}
 		}
 	}
@@ -141,8 +143,8 @@
 	return waits[len(waits)*99/100]
 }
 
-func TestTenfoldTenantMovesOthersLittle(t *testing.T) {
-	quiet, loud := servedP99(1), servedP99(10)
-	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its share", quiet, loud)
-	require.LessOrEqual(t, float64(loud), 1.1*float64(quiet))
+func TestOverloadingTenantBarelyAffectsOthers(t *testing.T) {
+	baseline, overloaded := p99Wait(1), p99Wait(10)
+	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its share", baseline, overloaded)
+	require.LessOrEqual(t, float64(overloaded), 1.1*float64(baseline))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides who is served when there is more work than places:
-// fleet-wide rates for each tenant, and a fair queue for the places of a pool.
-// It is pure: the caller passes the time.
+// Package admission implements overload control: fleet-wide rate limits for tenants and
+// a fair queue for the slots of a pool. Except for SlotPool, it does not read the clock:
+// the caller passes the time.
 package admission
 
 import (
@@ -10,14 +10,14 @@
 
 // Ticket is one waiting request.
 type Ticket struct {
-	// ID is unique among the waiting.
+	// ID is unique among the waiting requests.
 	ID       uint64
 	Tenant   string
 	Weight   float64
 	Priority int
-	// Cost in seconds of engine time.
+	// Cost is in seconds of engine time.
 	Cost float64
-	// Until is when the request is given up on.
+	// Until is when the request times out.
 	Until time.Time
 
 	finish  float64
@@ -25,59 +25,60 @@
 	index   int
 }
 
-// Queue orders waiting requests: a higher priority first, and within one
-// priority by start-time fair queueing over the tenants' weights, so that a
-// tenant that sends ten times its share waits behind its own requests.
+// Queue orders waiting requests by priority, highest first, and within one priority by
+// start-time fair queueing over the tenants' weights, so that a tenant that sends ten
+// times its share waits behind its own requests.
 type Queue struct {
-	tickets  ticketHeap
-	byID     map[uint64]*Ticket
-	virtual  map[int]float64
-	finishes map[tenantClass]float64
-	arrivals uint64
+	tickets     ticketHeap
+	byID        map[uint64]*Ticket
+	virtualTime map[int]float64
+	finishTimes map[flowKey]float64
+	arrivals    uint64
 }
 
-type tenantClass struct {
+// flowKey identifies the flow of a tenant within one priority.
+type flowKey struct {
 	tenant   string
 	priority int
 }
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue {
-	return &Queue{byID: map[uint64]*Ticket{}, virtual: map[int]float64{}, finishes: map[tenantClass]float64{}}
+	return &Queue{byID: map[uint64]*Ticket{}, virtualTime: map[int]float64{}, finishTimes: map[flowKey]float64{}}
 }
 
-// Len is the number waiting.
+// Len returns the number of waiting requests.
 func (queue *Queue) Len() int { return len(queue.tickets) }
 
 // Push adds a request.
 func (queue *Queue) Push(ticket Ticket) {
-	class := tenantClass{tenant: ticket.Tenant, priority: ticket.Priority}
-	start := max(queue.virtual[ticket.Priority], queue.finishes[class])
+	flow := flowKey{tenant: ticket.Tenant, priority: ticket.Priority}
+	start := max(queue.virtualTime[ticket.Priority], queue.finishTimes[flow])
 	ticket.finish = start + ticket.Cost/ticket.Weight
-	queue.finishes[class] = ticket.finish
+	queue.finishTimes[flow] = ticket.finish
 	queue.arrivals++
 	ticket.arrival = queue.arrivals
 	queue.byID[ticket.ID] = &ticket
 	heap.Push(&queue.tickets, &ticket)
 }
 
-// Pop takes the request to serve next.
+// Pop removes and returns the request to serve next.
 func (queue *Queue) Pop() (Ticket, bool) {
 	if len(queue.tickets) == 0 {
 		return Ticket{}, false
 	}
 	next := heap.Pop(&queue.tickets).(*Ticket)
 	delete(queue.byID, next.ID)
-	queue.virtual[next.Priority] = max(queue.virtual[next.Priority], next.finish)
+	queue.virtualTime[next.Priority] = max(queue.virtualTime[next.Priority], next.finish)
 	if len(queue.tickets) == 0 {
-		// Nobody waits: earlier use no longer counts against anyone.
-		queue.finishes = map[tenantClass]float64{}
-		queue.virtual = map[int]float64{}
+		// The queue is empty, so earlier use no longer counts against any tenant.
+		queue.finishTimes = map[flowKey]float64{}
+		queue.virtualTime = map[int]float64{}
 	}
 	return *next, true
 }
 
-// Remove takes a request out, such as one whose caller left.
+// Remove removes a waiting request, such as one whose caller has disconnected.
 func (queue *Queue) Remove(id uint64) bool {
 	ticket, found := queue.byID[id]
 	if !found {
@@ -88,11 +89,11 @@
 	return true
 }
 
-// Ahead counts the waiting that would be served before a new request of the
-// tenant, for an honest estimate of its wait.
+// Ahead returns how many waiting requests would be served before a new request of the
+// tenant, to estimate its wait.
 func (queue *Queue) Ahead(tenant string, weight, cost float64, priority int) int {
-	class := tenantClass{tenant: tenant, priority: priority}
-	finish := max(queue.virtual[priority], queue.finishes[class]) + cost/weight
+	flow := flowKey{tenant: tenant, priority: priority}
+	finish := max(queue.virtualTime[priority], queue.finishTimes[flow]) + cost/weight
 	ahead := 0
 	for _, waiting := range queue.tickets {
 		if waiting.Priority > priority || (waiting.Priority == priority && waiting.finish <= finish) {
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -8,192 +8,195 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Claim is what an attempt brings to a server, and what its choice relied on.
-type Claim struct {
-	// Query is the one by which the server became a candidate, and Chosen the candidate as the
-	// choice saw it.
+// Placement describes an attempt to be sent to a selected server, and the state of the server on
+// which the selection relied.
+type Placement struct {
+	// Query is the query that returned the server as a candidate, and Chosen the candidate as the
+	// selection saw it.
 	Query  Query
 	Chosen routing.Candidate
-	// Tokens are the prompt tokens that the server has to read.
+	// Tokens is the number of prompt tokens that the server has to process.
 	Tokens int
-	// Deferred says that the attempt lets all others go first: until it has started it is no
-	// work that they would wait for.
+	// Deferred marks an attempt that yields to all others: until it has started, it does not count
+	// as work that delays them.
 	Deferred bool
-	// Holds reports whether the choice stands for the server as it is now. It is called under
-	// the set's lock and must not call the set.
-	Holds func(current *routing.Candidate) bool
+	// StillValid reports whether the selection still holds for the current state of the server. It
+	// is called with the lock of the Set held and must not call the Set.
+	StillValid func(current *routing.Candidate) bool
 }
 
-// Begin counts an attempt in flight if its choice still stands. The check and the count are one
-// critical section: of many that chose a server at the same moment, each sees those before it.
-// The attempt is nil if the choice does not stand.
-func (set *Set) Begin(claim Claim, now time.Time) *Attempt {
+// Begin registers an attempt in flight if the placement is still valid, and returns nil
+// otherwise. Check and registration are one critical section, so that of many placements that
+// selected the same server concurrently, each sees those before it.
+func (set *Set) Begin(placement Placement, now time.Time) *Attempt {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.servers[claim.Chosen.Endpoint]
-	if known == nil || now.Before(known.dealt().goneUntil) {
+	e := set.servers[placement.Chosen.Endpoint]
+	if e == nil || now.Before(e.local().replacedUntil) {
 		return nil
 	}
-	current := claim.Chosen
-	set.refresh(known, &current, &claim.Query, now)
-	if !claim.Holds(&current) {
+	current := placement.Chosen
+	set.fillCandidate(e, &current, &placement.Query, now)
+	if !placement.StillValid(&current) {
 		return nil
 	}
-	dealings := set.deal(known)
-	dealings.inFlight++
-	if claim.Deferred {
-		dealings.deferred++
-		claim.Tokens = 0
+	local := set.ensureLocalState(e)
+	local.inFlight++
+	if placement.Deferred {
+		local.deferred++
+		placement.Tokens = 0
 	}
-	dealings.queuedTokens += claim.Tokens
-	set.use(known, now)
+	local.queuedTokens += placement.Tokens
+	set.markUsed(e, now)
 	return &Attempt{
-		set: set, state: known, tokens: claim.Tokens, deferred: claim.Deferred,
-		trial: dealings.rest.sent(now), probe: dealings.breaker.Sent(now), begun: now,
+		set: set, entry: e, tokens: placement.Tokens, deferred: placement.Deferred,
+		slowStartRound: local.backoff.sent(now), probe: local.breaker.Sent(now), sentAt: now,
 	}
 }
 
-// Attempt is one attempt in flight.
+// Attempt is one attempt in flight on a server.
 type Attempt struct {
 	set    *Set
-	state  *state
+	entry  *entry
 	tokens int
-	// deferred says that it has not started and that others go first.
+	// deferred reports that the attempt yields to others and has not started.
 	deferred bool
-	// trial is the round in which it tries the server after a rest, or 0, and admitted says
-	// that the server has begun to answer it.
-	trial    int
-	admitted bool
-	// probe says that it is the one that probes the server after its breaker opened.
-	probe bool
-	begun time.Time
+	// slowStartRound is the slow-start round in which the attempt counts toward the window of the
+	// server, or 0. admitted reports that the server has begun to answer it.
+	slowStartRound int
+	admitted       bool
+	// probe reports that this attempt probes the server after its breaker opened.
+	probe  bool
+	sentAt time.Time
 }
 
-// Started says that the server has read the prompt.
-func (attempt *Attempt) Started(now time.Time) {
-	if attempt.state == nil {
+// ResponseStarted records that the server has processed the prompt and begun to answer.
+func (attempt *Attempt) ResponseStarted(now time.Time) {
+	if attempt.entry == nil {
 		return
 	}
 	attempt.set.mutex.Lock()
 	defer attempt.set.mutex.Unlock()
-	attempt.unqueue()
-	attempt.admit()
+	attempt.dequeue()
+	attempt.markAdmitted()
 	if attempt.probe {
 		attempt.probe = false
-		attempt.state.breaker.Answered()
+		attempt.entry.breaker.ProbeAnswered()
 	}
-	attempt.state.heardAt = now
-	attempt.state.answered(attempt.begun)
+	attempt.entry.lastResponseAt = now
+	attempt.entry.recordAnswered(attempt.sentAt)
 }
 
-// admit notes once that the server works on the attempt.
-func (attempt *Attempt) admit() {
-	if attempt.trial > 0 && !attempt.admitted {
+// markAdmitted records, at most once, that the server has accepted the attempt.
+func (attempt *Attempt) markAdmitted() {
+	if attempt.slowStartRound > 0 && !attempt.admitted {
 		attempt.admitted = true
-		attempt.state.rest.admitted(attempt.trial, attempt.state.server.Slots)
+		attempt.entry.backoff.admitted(attempt.slowStartRound, attempt.entry.server.Slots)
 	}
 }
 
-// HeardSince reports whether the server has answered anything since a time.
-func (attempt *Attempt) HeardSince(since time.Time) bool {
-	if attempt.state == nil {
+// ServerRespondedSince reports whether the server has responded to any attempt since a given
+// time.
+func (attempt *Attempt) ServerRespondedSince(since time.Time) bool {
+	if attempt.entry == nil {
 		return false
 	}
 	attempt.set.mutex.Lock()
 	defer attempt.set.mutex.Unlock()
-	return attempt.state.heardAt.After(since)
+	return attempt.entry.lastResponseAt.After(since)
 }
 
-func (attempt *Attempt) unqueue() {
-	attempt.state.queuedTokens -= attempt.tokens
+func (attempt *Attempt) dequeue() {
+	attempt.entry.queuedTokens -= attempt.tokens
 	attempt.tokens = 0
 	if attempt.deferred {
-		attempt.state.deferred--
+		attempt.entry.deferred--
 		attempt.deferred = false
 	}
 }
 
-// End says how the attempt ended.
+// End records the result of the attempt. Further calls have no effect.
 func (attempt *Attempt) End(result exchange.Result, now time.Time) {
-	if attempt.state == nil {
+	if attempt.entry == nil {
 		return
 	}
 	attempt.set.mutex.Lock()
 	defer attempt.set.mutex.Unlock()
-	attempt.unqueue()
+	attempt.dequeue()
 	if result == exchange.ResultServed {
-		attempt.admit()
+		attempt.markAdmitted()
 	}
-	known := attempt.state
-	attempt.state = nil
-	known.inFlight--
-	if attempt.trial > 0 {
-		known.rest.ended(attempt.trial)
+	e := attempt.entry
+	attempt.entry = nil
+	e.inFlight--
+	if attempt.slowStartRound > 0 {
+		e.backoff.ended(attempt.slowStartRound)
 	}
 	switch result {
 	case exchange.ResultServed, exchange.ResultRefused, exchange.ResultFaulty:
-		known.answered(attempt.begun)
+		e.recordAnswered(attempt.sentAt)
 	}
-	known.judge(result, attempt.probe, now)
+	e.recordResult(result, attempt.probe, now)
 }
 
-// answered notes that the server answered what was sent at a time, unless another
-// incarnation did so in its place.
-func (state *state) answered(sent time.Time) {
-	if state.goneUntil.IsZero() && sent.After(state.answeredSent) {
-		state.answeredSent = sent
+// recordAnswered records that the server answered an attempt sent at sentAt, unless the answer
+// came from another incarnation at its address.
+func (entry *entry) recordAnswered(sentAt time.Time) {
+	if entry.replacedUntil.IsZero() && sentAt.After(entry.lastAnsweredSentAt) {
+		entry.lastAnsweredSentAt = sentAt
 	}
 }
 
-// AnsweredSince reports whether a server, named by its ServerKey, has answered anything that
-// was sent after a time: it had not ended then.
-func (set *Set) AnsweredSince(server uint64, since time.Time) bool {
+// AnsweredSince reports whether the server with the given ServerKey has answered any attempt
+// that was sent after a given time, which shows that it had not terminated by then.
+func (set *Set) AnsweredSince(key uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.byKey[server]
-	return known != nil && known.dealt().answeredSent.After(since)
+	e := set.byKey[key]
+	return e != nil && e.local().lastAnsweredSentAt.After(since)
 }
 
-func (state *state) judge(result exchange.Result, probe bool, now time.Time) {
+func (entry *entry) recordResult(result exchange.Result, probe bool, now time.Time) {
 	switch result {
 	case exchange.ResultServed, exchange.ResultRefused, exchange.ResultFaulty:
-		state.heardAt = now
+		entry.lastResponseAt = now
 	}
 	switch result {
 	case exchange.ResultServed:
-		state.breaker.Succeeded()
-		state.failures.note(0, now)
-		state.refusals.note(0, now)
+		entry.breaker.Succeeded()
+		entry.failures.record(0, now)
+		entry.refusals.record(0, now)
 	case exchange.ResultRefused:
-		state.abandon(probe)
-		state.busyUntil = now.Add(refusalRest)
-		if state.rest.left(now) == 0 {
-			// A server that says when to come back is not asked in the meantime anyway.
-			state.refusals.note(1, now)
+		entry.releaseProbe(probe)
+		entry.refusedUntil = now.Add(refusalBackoff)
+		if entry.backoff.remaining(now) == 0 {
+			// Refusals during a backoff do not count: the server gets no requests until its end
+			// anyway.
+			entry.refusals.record(1, now)
 		}
 	case exchange.ResultUnreached:
-		state.unreachedAt = now
-		state.fail(unreachedBreaker, probe, now)
+		entry.lastConnectFailureAt = now
+		entry.recordFailure(connectBreaker, probe, now)
 	case exchange.ResultFaulty, exchange.ResultBroken, exchange.ResultCutOff, exchange.ResultSilent:
-		state.fail(brokenBreaker, probe, now)
+		entry.recordFailure(responseBreaker, probe, now)
 	default:
-		state.abandon(probe)
+		entry.releaseProbe(probe)
 	}
 }
 
-// fail counts a failure.
-func (state *state) fail(config retry.BreakerConfig, probe bool, now time.Time) {
-	state.failures.note(1, now)
+// recordFailure adds a failure to the failure rate and to the breaker.
+func (entry *entry) recordFailure(config retry.BreakerConfig, probe bool, now time.Time) {
+	entry.failures.record(1, now)
 	if probe {
-		state.breaker.Failed(config, now)
+		entry.breaker.Failed(config, now)
 		return
 	}
-	state.breaker.FailedBeside(config, now)
+	entry.breaker.FailedOutsideProbe(config, now)
 }
 
-// abandon lets another attempt probe the server if this one was the probe.
-func (state *state) abandon(probe bool) {
+// releaseProbe lets another attempt probe the server if this one was the probe.
+func (entry *entry) releaseProbe(probe bool) {
 	if probe {
-		state.breaker.Abandoned()
+		entry.breaker.ProbeAbandoned()
 	}
 }
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -12,55 +12,56 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// always holds a choice whatever became of its server.
-func always(*routing.Candidate) bool { return true }
+// alwaysValid accepts a placement whatever the state of the server.
+func alwaysValid(*routing.Candidate) bool { return true }
 
-// claimOf is an unconditional claim of a server.
-func claimOf(name string) Claim {
-	return Claim{Query: query, Chosen: routing.Candidate{Endpoint: name}, Holds: always}
+// unconditionalPlacement returns a placement on a server that is always valid.
+func unconditionalPlacement(name string) Placement {
+	return Placement{Query: query, Chosen: routing.Candidate{Endpoint: name}, StillValid: alwaysValid}
 }
 
-// send begins an attempt that relies on nothing.
+// send begins an attempt unconditionally.
 func send(set *Set, name string, tokens int, now time.Time) *Attempt {
-	claim := claimOf(name)
-	claim.Tokens = tokens
-	return set.Begin(claim, now)
+	placement := unconditionalPlacement(name)
+	placement.Tokens = tokens
+	return set.Begin(placement, now)
 }
 
-// sendDeferred begins an attempt that lets all others go first.
+// sendDeferred begins an attempt that yields to all others.
 func sendDeferred(set *Set, name string, now time.Time) *Attempt {
-	claim := claimOf(name)
-	claim.Deferred = true
-	return set.Begin(claim, now)
+	placement := unconditionalPlacement(name)
+	placement.Deferred = true
+	return set.Begin(placement, now)
 }
 
-// accepts holds a choice while the server takes requests.
-func accepts(current *routing.Candidate) bool {
+// passesFilters accepts a placement while the server passes the routing filters.
+func passesFilters(current *routing.Candidate) bool {
 	return routing.Filter(&routing.Request{}, current) == routing.Accepted
 }
 
-// beginAll lets a number of placements look at a server, and begins them afterwards in some order
-// in which they have all looked before. It returns those that began.
-func beginAll(t *rapid.T, set *Set, name string, number int, now time.Time) []*Attempt {
-	var claims []Claim
+// beginConcurrently lets a number of placements read the state of a server before any of them
+// begins, and returns the attempts that began.
+func beginConcurrently(t *rapid.T, set *Set, name string, number int, now time.Time) []*Attempt {
+	var placements []Placement
 	for range number {
-		chosen := only(t, set, query, now, name)
-		if accepts(&chosen) {
-			claims = append(claims, Claim{Query: query, Chosen: chosen, Holds: accepts})
+		chosen := candidateOf(t, set, query, now, name)
+		if passesFilters(&chosen) {
+			placements = append(placements, Placement{Query: query, Chosen: chosen, StillValid: passesFilters})
 		}
 	}
-	var began []*Attempt
-	for _, claim := range claims {
+	var attempts []*Attempt
+	for _, claim := range placements {
 		if attempt := set.Begin(claim, now); attempt != nil {
-			began = append(began, attempt)
+			attempts = append(attempts, attempt)
 		}
 	}
-	return began
+	return attempts
 }
 
-// Guards against a herd on a server that is probed: whatever failures opened its breaker and
-// however many placements have seen it unprobed, one attempt probes it until that has ended.
-func TestPlacementsOfOneMomentSendOneProbe(t *testing.T) {
+// Guards against a thundering herd on a server whose breaker is half-open: whatever failures
+// opened the breaker and however many placements saw it without a probe, only one attempt probes
+// the server until that attempt has ended.
+func TestConcurrentPlacementsSendOneProbe(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
 		set.Update([]Server{server("x")}, begin)
@@ -71,64 +72,66 @@
 		}
 		send(set, "x", 0, now).End(exchange.ResultUnreached, now)
 		for range rapid.IntRange(1, 8).Draw(t, "rounds") {
-			now = now.Add(unreachedBreaker.MaximumRest)
-			probes := beginAll(t, set, "x", rapid.IntRange(1, 60).Draw(t, "placements"), now)
+			now = now.Add(connectBreaker.MaxOpenDuration)
+			probes := beginConcurrently(t, set, "x", rapid.IntRange(1, 60).Draw(t, "placements"), now)
 			require.Len(t, probes, 1)
-			// The end of what went out before the breaker opened frees no other probe.
+			// An attempt sent before the breaker opened does not release another probe when it
+			// ends.
 			for _, straggler := range open {
 				straggler.End(rapid.SampledFrom([]exchange.Result{exchange.ResultNeutral, exchange.ResultRefused}).Draw(t, "straggler"), now)
 			}
 			open = nil
-			now = now.Add(refusalRest)
-			require.Empty(t, beginAll(t, set, "x", 60, now))
+			now = now.Add(refusalBackoff)
+			require.Empty(t, beginConcurrently(t, set, "x", 60, now))
 			probes[0].End(rapid.SampledFrom([]exchange.Result{exchange.ResultUnreached, exchange.ResultNeutral}).Draw(t, "result"), now)
 		}
-		now = now.Add(unreachedBreaker.MaximumRest)
-		beginAll(t, set, "x", 60, now)[0].End(exchange.ResultServed, now)
-		require.Len(t, beginAll(t, set, "x", 60, now), 60)
+		now = now.Add(connectBreaker.MaxOpenDuration)
+		beginConcurrently(t, set, "x", 60, now)[0].End(exchange.ResultServed, now)
+		require.Len(t, beginConcurrently(t, set, "x", 60, now), 60)
 	})
 }
 
-// Guards against a herd at the end of a backoff: placements that have all seen the slow-start
-// window open stay within it.
-func TestPlacementsOfOneMomentStayWithinTheSlowStartWindow(t *testing.T) {
+// Guards against a thundering herd at the end of a backoff: placements that have all seen the
+// slow-start window open stay within it.
+func TestConcurrentPlacementsStayWithinSlowStartWindow(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
 		set.Update([]Server{server("x")}, begin)
-		set.draw = func() float64 { return 1 }
-		set.Notice("x", Notice{Rest: time.Second}, begin)
-		require.Empty(t, beginAll(t, set, "x", 60, begin))
+		set.random = func() float64 { return 1 }
+		set.Notice("x", Notice{RetryAfter: time.Second}, begin)
+		require.Empty(t, beginConcurrently(t, set, "x", 60, begin))
 		now := begin.Add(2 * time.Second)
-		for window := 1; window < unknownSlots; window *= 2 {
-			sent := beginAll(t, set, "x", rapid.IntRange(unknownSlots, 60).Draw(t, "placements"), now)
+		for window := 1; window < defaultSlots; window *= 2 {
+			sent := beginConcurrently(t, set, "x", rapid.IntRange(defaultSlots, 60).Draw(t, "placements"), now)
 			require.Len(t, sent, window)
 			for _, attempt := range sent {
 				attempt.End(exchange.ResultServed, now)
 			}
 		}
-		require.Len(t, beginAll(t, set, "x", 60, now), 60)
+		require.Len(t, beginConcurrently(t, set, "x", 60, now), 60)
 	})
 }
 
-// Guards against sends to a server that withdrew, or was replaced, while a request was placed.
-func TestAChoiceDoesNotOutliveItsServer(t *testing.T) {
+// Guards against requests to a server that began draining, backed off or was replaced between
+// selection and sending.
+func TestBeginRejectsStalePlacement(t *testing.T) {
 	for name, change := range map[string]func(set *Set){
 		"leaves":   func(set *Set) { set.Notice("x", Notice{Leaving: true}, begin) },
-		"backoff":  func(set *Set) { set.Notice("x", Notice{Rest: time.Second}, begin) },
+		"backoff":  func(set *Set) { set.Notice("x", Notice{RetryAfter: time.Second}, begin) },
 		"replaced": func(set *Set) { set.Gone("x", begin) },
 		"full":     func(set *Set) { send(set, "x", 0, begin).End(exchange.ResultRefused, begin) },
 		"loads": func(set *Set) {
-			set.Load(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
+			set.SetLoads(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := NewSet()
 			set.Update([]Server{server("x")}, begin)
-			claim := Claim{Query: query, Chosen: only(t, set, query, begin, "x"), Holds: accepts}
+			claim := Placement{Query: query, Chosen: candidateOf(t, set, query, begin, "x"), StillValid: passesFilters}
 			require.NotNil(t, set.Begin(claim, begin))
 			change(set)
 			require.Nil(t, set.Begin(claim, begin))
 		})
 	}
-	require.Nil(t, NewSet().Begin(claimOf("x"), begin), "it was forgotten")
+	require.Nil(t, NewSet().Begin(unconditionalPlacement("x"), begin), "it was forgotten")
 }
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -7,66 +7,68 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Distance returns how far a server's zone is from here, 0 being the same zone.
+// Distance returns the distance of a zone from this node; 0 is the same zone.
 type Distance func(zone string) int
 
-// Query says which servers a request may go to.
+// Query selects the servers that are eligible for a request.
 type Query struct {
 	Service string
-	// Model is empty for plain services; MinimumVersion is the oldest version of
-	// its weights that may still serve.
+	// Model is empty for services without models. MinimumVersion is the oldest model version that
+	// may serve the request.
 	Model          string
 	MinimumVersion int64
 	Distance       Distance
-	// Near and Most choose Most servers of a large service, those whose keys follow Near.
-	// All nodes find the same ones for the same Near. If Most is 0, all are meant.
-	Near uint64
-	Most int
+	// Limit bounds the candidates to the servers whose keys follow HashPoint on the ring of the
+	// service; 0 means all servers. All nodes get the same subset for the same HashPoint.
+	HashPoint uint64
+	Limit     int
 }
 
-// Candidates appends the servers of a service as routing sees them.
+// Candidates appends the eligible servers of a service as routing candidates.
 func (set *Set) Candidates(candidates []routing.Candidate, query Query, now time.Time) []routing.Candidate {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	around := set.rings[query.Service]
-	anyListed := slices.ContainsFunc(around, func(s *state) bool { return s.listed && !s.leaving() })
-	most := len(around)
-	if query.Most > 0 {
-		most = min(most, query.Most)
+	members := set.rings[query.Service]
+	anyListed := slices.ContainsFunc(members, func(s *entry) bool { return s.listed && !s.isDraining() })
+	limit := len(members)
+	if query.Limit > 0 {
+		limit = min(limit, query.Limit)
 	}
-	candidates = slices.Grow(candidates, most)
-	first, found := around.after(query.Near), 0
-	for i := 0; i < len(around) && found < most; i++ {
-		known := around[(first+i)%len(around)]
-		if now.Before(known.dealt().goneUntil) || (!known.listed && (anyListed || known.leaving())) {
+	candidates = slices.Grow(candidates, limit)
+	first, found := members.search(query.HashPoint), 0
+	for i := 0; i < len(members) && found < limit; i++ {
+		e := members[(first+i)%len(members)]
+		if now.Before(e.local().replacedUntil) || (!e.listed && (anyListed || e.isDraining())) {
 			continue
 		}
 		candidates = append(candidates, routing.Candidate{})
-		set.refresh(known, &candidates[len(candidates)-1], &query, now)
+		set.fillCandidate(e, &candidates[len(candidates)-1], &query, now)
 		found++
 	}
 	return candidates
 }
 
-// running counts the attempts that others have to wait for.
-func (d *dealings) running() int { return d.inFlight - d.deferred }
+// running returns the number of attempts in flight without the deferred ones, which do not delay
+// others.
+func (local *localState) running() int { return local.inFlight - local.deferred }
 
-// refresh fills in what the set knows of a server, and leaves the rest of the candidate.
-func (set *Set) refresh(known *state, c *routing.Candidate, query *Query, now time.Time) {
-	server, dealings, others := known.server, known.dealt(), set.othersAt(known, now)
-	c.Endpoint, c.Address, c.Zone, c.Pool, c.Epoch = known.name, server.Address, server.Zone, server.Service, server.Instance
+// fillCandidate sets the fields of a candidate that depend on the state of the server, and
+// leaves the others unchanged.
+func (set *Set) fillCandidate(e *entry, c *routing.Candidate, query *Query, now time.Time) {
+	server, local, peers := e.server, e.local(), set.peerWorkAt(e, now)
+	c.Endpoint, c.Address, c.Zone, c.Pool, c.Epoch = e.name, server.Address, server.Zone, server.Service, server.Instance
 	c.Distance = query.Distance(server.Zone)
 	c.Version = server.Versions[query.Model]
-	c.Loading = set.loads(known, query.Model, now)
+	c.Loading = set.isLoading(e, query.Model, now)
 	c.Ready = query.Model == "" || (c.Version > 0 && c.Version >= query.MinimumVersion && !c.Loading)
-	c.Leaving = known.leaving()
-	c.RestLeft = dealings.rest.left(now)
-	c.Resting = !dealings.breaker.Allows(now) || others.Suspects >= enoughSuspects
-	c.Probing = dealings.breaker.Probing(now)
-	c.Busy = now.Before(dealings.busyUntil) || dealings.rest.full(dealings.running()+others.Running, server.Slots)
-	c.InFlight = dealings.inFlight
-	c.Running = dealings.running() + others.Running
+	c.Leaving = e.isDraining()
+	c.BackoffLeft = local.backoff.remaining(now)
+	c.BreakerOpen = !local.breaker.Allows(now) || peers.Suspects >= suspectQuorum
+	c.Probing = local.breaker.Probing(now)
+	c.Busy = now.Before(local.refusedUntil) || local.backoff.windowFull(local.running()+peers.Running, server.Slots)
+	c.InFlight = local.inFlight
+	c.Running = local.running() + peers.Running
 	c.Slots = server.Slots
-	c.QueuedTokens = dealings.queuedTokens + others.QueuedTokens
-	c.FailureShare = 1 - (1-dealings.failures.at(now))*(1-dealings.refusals.at(now))
+	c.QueuedTokens = local.queuedTokens + peers.QueuedTokens
+	c.FailureRate = 1 - (1-local.failures.estimate(now))*(1-local.refusals.estimate(now))
 }
--- a/internal/backend/engines.go
+++ b/internal/backend/engines.go
@@ -4,60 +4,60 @@
 	"time"
 )
 
-// Engines returns the listed servers that hold models: all, or if there are more than most,
-// those at which any node had work within a time before now.
-func (set *Set) Engines(most int, within time.Duration, now time.Time) []Server {
+// Engines returns the listed servers that have models loaded: all of them, or if there are more
+// than limit, those on which any node had work within the given time before now.
+func (set *Set) Engines(limit int, within time.Duration, now time.Time) []Server {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	var servers []Server
-	set.eachEngine(most, within, now, func(known *state) { servers = append(servers, *known.server) })
+	set.eachEngine(limit, within, now, func(e *entry) { servers = append(servers, *e.server) })
 	return servers
 }
 
-// CountEngines returns how many servers Engines would.
-func (set *Set) CountEngines(most int, within time.Duration, now time.Time) int {
+// CountEngines returns the number of servers that Engines would return.
+func (set *Set) CountEngines(limit int, within time.Duration, now time.Time) int {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	count := 0
-	set.eachEngine(most, within, now, func(*state) { count++ })
+	set.eachEngine(limit, within, now, func(*entry) { count++ })
 	return count
 }
 
-// eachEngine calls a function for each server that Engines returns.
-func (set *Set) eachEngine(most int, within time.Duration, now time.Time, take func(known *state)) {
+// eachEngine calls visit for each server that Engines returns.
+func (set *Set) eachEngine(limit int, within time.Duration, now time.Time, visit func(e *entry)) {
 	var rings []ring
-	all := 0
+	total := 0
 	for _, r := range set.rings {
-		// The servers of a service hold models, or none of them does.
+		// Either all servers of a service have models, or none has.
 		if len(r) > 0 && len(r[0].server.Versions) > 0 {
 			rings = append(rings, r)
-			all += len(r)
+			total += len(r)
 		}
 	}
-	takeListed := func(known *state) {
-		if known.listed && !now.Before(known.dealt().goneUntil) && len(known.server.Versions) > 0 {
-			take(known)
+	visitListed := func(e *entry) {
+		if e.listed && !now.Before(e.local().replacedUntil) && len(e.server.Versions) > 0 {
+			visit(e)
 		}
 	}
-	if all > most {
-		for known := range set.used {
-			if now.Sub(known.usedAt) > within {
-				delete(set.used, known)
+	if total > limit {
+		for e := range set.recentlyUsed {
+			if now.Sub(e.lastUsedAt) > within {
+				delete(set.recentlyUsed, e)
 			} else {
-				takeListed(known)
+				visitListed(e)
 			}
 		}
 		return
 	}
 	for _, r := range rings {
-		for _, known := range r {
-			takeListed(known)
+		for _, e := range r {
+			visitListed(e)
 		}
 	}
 }
 
-// use notes that a node has work at a server.
-func (set *Set) use(known *state, now time.Time) {
-	known.usedAt = now
-	set.used[known] = true
+// markUsed records that a node has work on a server.
+func (set *Set) markUsed(e *entry, now time.Time) {
+	e.lastUsedAt = now
+	set.recentlyUsed[e] = true
 }
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -9,17 +9,17 @@
 	"github.com/cloverrail/cloverrail/internal/exchange"
 )
 
-// lifeOf is a server that started at a time under an id that others had before.
-func lifeOf(born int64, versions map[string]int64) Server {
+// incarnationOf returns a server that started at a given time under a reused instance ID.
+func incarnationOf(born int64, versions map[string]int64) Server {
 	return Server{Instance: "i", Born: born, Service: "s", Versions: versions}
 }
 
-func TestALifeKnowsNothingOfTheOneBefore(t *testing.T) {
+func TestNewIncarnationInheritsNoState(t *testing.T) {
 	set := NewSet()
-	first, second := lifeOf(1, map[string]int64{"m": 7}), lifeOf(2, map[string]int64{"m": 5})
+	first, second := incarnationOf(1, map[string]int64{"m": 7}), incarnationOf(2, map[string]int64{"m": 5})
 	set.Update([]Server{first}, begin)
 	running := send(set, first.Incarnation(), 100, begin)
-	set.Notice("i", Notice{Leaving: true, Rest: time.Minute}, begin)
+	set.Notice("i", Notice{Leaving: true, RetryAfter: time.Minute}, begin)
 	set.Gone("i", begin)
 	changes := set.Apply([]*Server{&second}, nil, begin)
 	require.Equal(t, []Change{{Server: first, Gone: true}, {Server: second}}, changes)
@@ -29,39 +29,39 @@
 	require.Equal(t, "i", got[0].Epoch, "servers are called by their id")
 	require.EqualValues(t, 5, got[0].Version)
 	require.Zero(t, got[0].InFlight+got[0].QueuedTokens)
-	require.False(t, got[0].Leaving || got[0].Busy || got[0].Resting || got[0].RestLeft > 0)
+	require.False(t, got[0].Leaving || got[0].Busy || got[0].BreakerOpen || got[0].BackoffLeft > 0)
 	running.End(exchange.ResultUnreached, begin)
-	require.False(t, set.Candidates(nil, query, begin)[0].Resting, "what ran there says nothing of this one")
+	require.False(t, set.Candidates(nil, query, begin)[0].BreakerOpen, "what ran there says nothing of this one")
 	require.True(t, set.Ended(ServerKey(first.Incarnation()), begin))
 	require.False(t, set.Ended(ServerKey(second.Incarnation()), begin))
 	require.Equal(t, Notice{}, set.Notice(first.Incarnation(), Notice{Leaving: true}, begin), "a late answer of the life before")
 	require.False(t, set.Candidates(nil, query, begin)[0].Leaving)
 }
 
-func TestALateWordOfALifeThatIsOverChangesNothing(t *testing.T) {
+func TestStaleIncarnationIsIgnored(t *testing.T) {
 	set := NewSet()
-	first, second := lifeOf(1, map[string]int64{"m": 1}), lifeOf(2, map[string]int64{"m": 1})
+	first, second := incarnationOf(1, map[string]int64{"m": 1}), incarnationOf(2, map[string]int64{"m": 1})
 	set.Update([]Server{second}, begin)
 	require.Empty(t, set.Apply([]*Server{&first}, nil, begin))
 	require.Equal(t, second.Incarnation(), set.Candidates(nil, query, begin)[0].Endpoint)
 }
 
-func TestALifeThatAnswersIsKnownBeforeTheListNamesIt(t *testing.T) {
+func TestObservedRestartPrecedesServerList(t *testing.T) {
 	set := NewSet()
-	first := lifeOf(1, map[string]int64{"m": 3})
+	first := incarnationOf(1, map[string]int64{"m": 3})
 	set.Update([]Server{first}, begin)
 	set.Notice("i", Notice{Leaving: true}, begin)
-	set.Begun(first, 2, map[string]int64{"m": 4}, begin)
+	set.ObserveRestart(first, 2, map[string]int64{"m": 4}, begin)
 	got := set.Candidates(nil, query, begin)
 	require.Len(t, got, 1)
 	require.EqualValues(t, 4, got[0].Version)
 	require.False(t, got[0].Leaving)
-	set.Load(Loads{Loaded: []Load{{Instance: "i", Model: "m", Version: 6}}}, begin)
+	set.SetLoads(Loads{Loaded: []Load{{Instance: "i", Model: "m", Version: 6}}}, begin)
 	require.EqualValues(t, 6, set.Candidates(nil, query, begin)[0].Version, "what the roll-out tells names the id")
 }
 
-func TestAPackedListTellsWhenServersStarted(t *testing.T) {
-	list := []Server{lifeOf(5, map[string]int64{"m": 1}), {Instance: "j", Service: "s", Versions: map[string]int64{"m": 1}}}
+func TestPackedListKeepsStartTimes(t *testing.T) {
+	list := []Server{incarnationOf(5, map[string]int64{"m": 1}), {Instance: "j", Service: "s", Versions: map[string]int64{"m": 1}}}
 	unpacked, err := Pack(list).Unpack()
 	require.NoError(t, err)
 	require.Equal(t, list, unpacked)
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -2,175 +2,179 @@
 
 import "time"
 
-// Notice is what a server says of itself beside an answer. The zero value says nothing.
+// Notice holds the signals that a server attaches to a response as headers. The zero value has
+// none.
 type Notice struct {
-	// Leaving says that the server is about to end and wants no new requests.
+	// Leaving reports that the server is shutting down and wants no new requests.
 	Leaving bool
-	// Rest is for how long it wants no requests of this node.
-	Rest time.Duration
-	// Limited says that it takes Limit requests a second from all nodes together.
-	Limited bool
-	Limit   float64
-	// Whole says that the answer is the server's own and would name a limit if there were one.
-	Whole bool
-	// Unknown names a word that nobody here knows, or is "".
-	Unknown string
+	// RetryAfter is how long the server wants no requests from this node.
+	RetryAfter time.Duration
+	// HasRateLimit reports that the server accepts RateLimit requests per second from all nodes
+	// together.
+	HasRateLimit bool
+	RateLimit    float64
+	// Authoritative reports that the response is the server's own and would include the rate limit
+	// if it had one.
+	Authoritative bool
+	// UnknownHeader is the name of an unrecognized signal header, or empty.
+	UnknownHeader string
 }
 
-// Says reports whether the notice says anything.
-func (n Notice) Says() bool { return n != Notice{} && n != Notice{Whole: true} }
+// HasSignals reports whether the notice contains any signal.
+func (n Notice) HasSignals() bool { return n != Notice{} && n != Notice{Authoritative: true} }
 
-// Notice takes what a server says of itself, and returns what of it is news.
+// Notice applies the signals of a server and returns those that are new.
 //
-// The list of servers is as old as the shared store's last answer, and may call a server ready
-// for as long as the store is away: its own word counts from the moment in which it is there.
+// They take effect at once, ahead of the server list: the list is only as recent as the last
+// response of the shared store, and may present a server as ready while the store is down.
 func (set *Set) Notice(instance string, notice Notice, now time.Time) Notice {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	news := Notice{}
-	known := set.find(instance)
+	changes := Notice{}
+	e := set.lookup(instance)
 	switch {
-	case notice.Leaving && known != nil:
-		news.Leaving = set.leave(known.key)
+	case notice.Leaving && e != nil:
+		changes.Leaving = set.markDraining(e.key)
 	case notice.Leaving:
-		news.Leaving = set.leave(ServerKey(instance))
+		changes.Leaving = set.markDraining(ServerKey(instance))
 	}
-	if known == nil {
-		return news
+	if e == nil {
+		return changes
 	}
 	if notice.Leaving {
-		set.deal(known).saidLeaving = true
+		set.ensureLocalState(e).drainingAnnounced = true
 	}
-	if notice.Rest > 0 {
-		news.Rest = set.deal(known).rest.ask(notice.Rest, set.draw(), now)
+	if notice.RetryAfter > 0 {
+		changes.RetryAfter = set.ensureLocalState(e).backoff.start(notice.RetryAfter, set.random(), now)
 	}
-	return news
+	return changes
 }
 
-// Known is a server as others are told of it.
-type Known struct {
-	// Key is its ServerKey, Name that of its incarnation.
+// ServerRef identifies a server in messages and logs.
+type ServerRef struct {
+	// Key is the ServerKey, and Name the incarnation name.
 	Key     uint64
 	Name    string
 	Service string
 }
 
-// Known returns the server of a name, the latest incarnation of an id.
-func (set *Set) Known(name string) (known Known, found bool) {
+// Find returns the server with an incarnation name, or the latest incarnation of an instance ID.
+func (set *Set) Find(name string) (ref ServerRef, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	state := set.find(name)
-	if state == nil {
-		return Known{}, false
+	e := set.lookup(name)
+	if e == nil {
+		return ServerRef{}, false
 	}
-	return state.known(), true
+	return e.ref(), true
 }
 
-// KnownBy returns the first server whose ServerKey fits. It looks at all.
-func (set *Set) KnownBy(fits func(server uint64) bool) (known Known, found bool) {
+// FindByKey returns any server whose ServerKey matches. It scans all servers.
+func (set *Set) FindByKey(match func(server uint64) bool) (ref ServerRef, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	for key, state := range set.byKey {
-		if fits(key) {
-			return state.known(), true
+	for key, e := range set.byKey {
+		if match(key) {
+			return e.ref(), true
 		}
 	}
-	return Known{}, false
+	return ServerRef{}, false
 }
 
-// KnownAt returns the listed server at an address. It looks at all.
-func (set *Set) KnownAt(address string) (known Known, found bool) {
+// FindByAddress returns the listed server at an address. It scans all servers.
+func (set *Set) FindByAddress(address string) (ref ServerRef, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	for _, state := range set.byKey {
-		if state.listed && state.server.Address == address {
-			return state.known(), true
+	for _, e := range set.byKey {
+		if e.listed && e.server.Address == address {
+			return e.ref(), true
 		}
 	}
-	return Known{}, false
+	return ServerRef{}, false
 }
 
-// Knows reports whether a server, named by its ServerKey, is known.
-func (set *Set) Knows(server uint64) bool {
+// Contains reports whether a server with the given ServerKey is known.
+func (set *Set) Contains(key uint64) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	return set.byKey[server] != nil
+	return set.byKey[key] != nil
 }
 
-func (state *state) known() Known {
-	return Known{Key: state.key, Name: state.name, Service: state.server.Service}
+func (entry *entry) ref() ServerRef {
+	return ServerRef{Key: entry.key, Name: entry.name, Service: entry.server.Service}
 }
 
-// leave notes that an incarnation has said that it leaves, and reports whether that is new.
-// No later word of the list takes that back, which may be older: an incarnation that leaves
-// does not come to stay again.
-func (set *Set) leave(server uint64) bool {
-	if known := set.byKey[server]; known != nil {
-		known.leaves = true
+// markDraining records that an incarnation is draining, and reports whether that is new. Later
+// list updates, which may be older, do not revert it: an incarnation that is shutting down does
+// not return to service.
+func (set *Set) markDraining(key uint64) bool {
+	if e := set.byKey[key]; e != nil {
+		e.draining = true
 	}
-	return set.leavers.add(server)
+	return set.drainingServers.add(key)
 }
 
-// leaving reports whether the server leaves, by its own word or that of the list.
-func (state *state) leaving() bool { return state.leaves || state.server.Draining }
+// isDraining reports whether the server is draining, by its own signal or by the list.
+func (entry *entry) isDraining() bool { return entry.draining || entry.server.Draining }
 
-// Withdrawn reports whether a server wants no requests of this node now, since it leaves or
-// has asked for rest.
-func (set *Set) Withdrawn(instance string, now time.Time) bool {
+// RejectsTraffic reports whether a server currently wants no requests from this node, since it
+// is draining or in backoff.
+func (set *Set) RejectsTraffic(instance string, now time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.find(instance)
-	return known != nil && (known.leaving() || known.dealt().rest.left(now) > 0)
+	e := set.lookup(instance)
+	return e != nil && (e.isDraining() || e.local().backoff.remaining(now) > 0)
 }
 
-// Resting returns the servers that have asked this node for rest, with its end.
+// Resting returns the servers that have asked this node for a backoff, with its end.
 func (set *Set) Resting(now time.Time) map[string]time.Time {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	resting := map[string]time.Time{}
-	for known := range set.dealt {
-		if known.rest.left(now) > 0 {
-			resting[known.name] = known.rest.until
+	for e := range set.withLocalState {
+		if e.backoff.remaining(now) > 0 {
+			resting[e.name] = e.backoff.until
 		}
 	}
 	return resting
 }
 
-// Leaving counts the servers in the list that have said to this node that they leave.
-func (set *Set) Leaving() int {
+// CountDraining returns the number of listed servers that have told this node directly that they
+// are shutting down.
+func (set *Set) CountDraining() int {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	count := 0
-	for known := range set.dealt {
-		if known.saidLeaving && known.listed {
+	for e := range set.withLocalState {
+		if e.drainingAnnounced && e.listed {
 			count++
 		}
 	}
 	return count
 }
 
-// mostLeavers bounds the incarnations that are remembered as leaving, by two halves: of the
-// last 8,192 none is forgotten, which is more than a fleet of 10,000 servers replaces in an
-// hour of rolling releases. They take 0.6 MB at most.
-const mostLeavers = 2 * 8192
+// maxDraining bounds the remembered draining incarnations, in two generations: the last 8,192
+// are always remembered, which is more than a fleet of 10,000 servers replaces in an hour of
+// rolling releases. They take at most 0.6 MB.
+const maxDraining = 2 * 8192
 
-// leavers is a bounded memory of incarnations that leave. It outlives what is known of the
-// servers, whose entries may lapse and be written again while they end.
-type leavers struct {
-	recent, before map[uint64]bool
+// drainingSet is a bounded set of draining incarnations. It outlives the entries of the servers,
+// which may lapse and be written again while the servers shut down.
+type drainingSet struct {
+	recent, previous map[uint64]bool
 }
 
-// has reports whether an incarnation is remembered.
-func (l *leavers) has(server uint64) bool { return l.recent[server] || l.before[server] }
+// has reports whether an incarnation is in the set.
+func (s *drainingSet) has(key uint64) bool { return s.recent[key] || s.previous[key] }
 
-// add remembers an incarnation, and reports whether it was not.
-func (l *leavers) add(server uint64) bool {
-	if l.has(server) {
+// add adds an incarnation, and reports whether it was absent.
+func (s *drainingSet) add(key uint64) bool {
+	if s.has(key) {
 		return false
 	}
-	if l.recent == nil || len(l.recent) >= mostLeavers/2 {
-		l.recent, l.before = map[uint64]bool{}, l.recent
+	if s.recent == nil || len(s.recent) >= maxDraining/2 {
+		s.recent, s.previous = map[uint64]bool{}, s.recent
 	}
-	l.recent[server] = true
+	s.recent[key] = true
 	return true
 }
