--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -12,69 +12,69 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestAServersWordThatItLeavesOutlivesItsEntry(t *testing.T) {
-	set := alike(2, begin)
+func TestDrainingStateSurvivesEntryRemoval(t *testing.T) {
+	set := newUniformSet(2, begin)
 	require.Equal(t, Notice{Leaving: true}, set.Notice("i-0", Notice{Leaving: true}, begin))
 	require.Equal(t, Notice{}, set.Notice("i-0", Notice{Leaving: true}, begin), "it is news once")
 	require.True(t, candidate(set, "i-0", begin).Leaving)
 	require.False(t, candidate(set, "i-1", begin).Leaving)
-	require.False(t, set.Stays("i-0"))
+	require.False(t, set.InService("i-0"))
 	set.Update([]Server{{Instance: "i-1", Service: "s"}}, begin)
-	later := begin.Add(2 * unlistedLife)
+	later := begin.Add(2 * unlistedRetention)
 	set.Update([]Server{{Instance: "i-1", Service: "s"}}, later)
 	set.Update([]Server{{Instance: "i-0", Service: "s"}, {Instance: "i-1", Service: "s"}}, later)
 	require.True(t, candidate(set, "i-0", later).Leaving, "its entry was forgotten and written again")
-	for _, known := range set.Servers(later) {
-		require.Equal(t, known.Instance == "i-0", known.Draining)
+	for _, server := range set.Servers(later) {
+		require.Equal(t, server.Instance == "i-0", server.Draining)
 	}
 }
 
-func TestNodesAreToldWhichServersLeave(t *testing.T) {
-	first, second := alike(2, begin), alike(2, begin)
+func TestDrainingStateIsSharedWithPeers(t *testing.T) {
+	first, second := newUniformSet(2, begin), newUniformSet(2, begin)
 	first.Notice("i-0", Notice{Leaving: true}, begin)
-	require.Equal(t, []Work{{Server: ServerKey("i-0"), Suspects: leavingSuspects}}, first.Work(begin))
-	require.Equal(t, []string{"i-0"}, second.TakeWork(first.Work(begin), begin))
-	require.Empty(t, second.TakeWork(first.Work(begin), begin), "it is news once")
+	require.Equal(t, []Work{{Server: ServerKey("i-0"), Suspects: drainingSuspects}}, first.Work(begin))
+	require.Equal(t, []string{"i-0"}, second.ApplyPeerWork(first.Work(begin), begin))
+	require.Empty(t, second.ApplyPeerWork(first.Work(begin), begin), "it is news once")
 	require.True(t, candidate(second, "i-0", begin.Add(time.Hour)).Leaving, "nobody takes it back")
 	require.Empty(t, second.Work(begin), "only who has heard it itself tells it")
-	require.Empty(t, second.TakeWork([]Work{{Server: ServerKey("i-9"), Suspects: leavingSuspects + 3}}, begin))
+	require.Empty(t, second.ApplyPeerWork([]Work{{Server: ServerKey("i-9"), Suspects: drainingSuspects + 3}}, begin))
 	second.Update([]Server{{Instance: "i-9", Service: "s"}}, begin)
 	require.True(t, candidate(second, "i-9", begin).Leaving, "it was told before the list named it")
 }
 
-func TestLeaversAreRememberedWithinBounds(t *testing.T) {
-	memory := leavers{}
-	for i := range uint64(5 * mostLeavers) {
-		require.True(t, memory.add(i))
-		require.False(t, memory.add(i))
-		require.LessOrEqual(t, len(memory.recent)+len(memory.before), mostLeavers)
-		if i >= mostLeavers/2 {
-			require.True(t, memory.has(i-mostLeavers/2+1))
+func TestDrainingSetIsBounded(t *testing.T) {
+	set := drainingSet{}
+	for i := range uint64(5 * maxDraining) {
+		require.True(t, set.add(i))
+		require.False(t, set.add(i))
+		require.LessOrEqual(t, len(set.recent)+len(set.previous), maxDraining)
+		if i >= maxDraining/2 {
+			require.True(t, set.has(i-maxDraining/2+1))
 		}
 	}
 }
 
-// A server that has asked for rest gets nothing until it is over, by whatever it answers
-// meanwhile; then one request, and more as it admits them, up to any number.
-func TestARestIsKeptAndRequestsComeBackStepByStep(t *testing.T) {
+// A server that requested a backoff gets no requests until its end, whatever it answers
+// meanwhile. Then slow start admits one request, and more as they succeed, up to no limit.
+func TestBackoffIsHonoredThenSlowStart(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		set := alike(1, begin)
-		set.draw = func() float64 { return rapid.Float64Range(0, 1).Draw(t, "spread") }
-		now, asked := begin, begin
+		set := newUniformSet(1, begin)
+		set.random = func() float64 { return rapid.Float64Range(0, 1).Draw(t, "spread") }
+		now, backoffEnd := begin, begin
 		var open []*Attempt
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			c := candidate(set, "i-0", now)
-			require.Equal(t, now.Before(asked), c.RestLeft > 0 && now.Before(asked), "a rest is kept")
+			require.Equal(t, now.Before(backoffEnd), c.BackoffLeft > 0 && now.Before(backoffEnd), "a rest is kept")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-				set.Notice("i-0", Notice{Rest: rest}, now)
-				if until := now.Add(rest); until.After(asked) {
-					asked = until
+				retryAfter := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
+				set.Notice("i-0", Notice{RetryAfter: retryAfter}, now)
+				if until := now.Add(retryAfter); until.After(backoffEnd) {
+					backoffEnd = until
 				}
 			case 1, 2:
-				if c.RestLeft == 0 && !c.Busy {
+				if c.BackoffLeft == 0 && !c.Busy {
 					open = append(open, send(set, "i-0", 0, now))
 				}
 			case 3:
@@ -88,61 +88,61 @@
 		for _, attempt := range open {
 			attempt.End(exchange.ResultNeutral, now)
 		}
-		// Whatever was, it serves any number again if it admits what comes.
-		set.Notice("i-0", Notice{Rest: time.Second}, now)
-		now = now.Add(longestRest + mostSpread)
-		most := 0
+		// Whatever happened before, the window becomes unlimited again once the server admits
+		// requests.
+		set.Notice("i-0", Notice{RetryAfter: time.Second}, now)
+		now = now.Add(maxBackoff + maxJitter)
+		previous := 0
 		for range 6 {
 			var sent []*Attempt
 			for range 40 {
-				if c := candidate(set, "i-0", now); c.RestLeft == 0 && !c.Busy {
+				if c := candidate(set, "i-0", now); c.BackoffLeft == 0 && !c.Busy {
 					sent = append(sent, send(set, "i-0", 0, now))
 				}
 			}
-			if 2*most < unknownSlots {
-				require.LessOrEqual(t, len(sent), max(1, 2*most), "at most twice as many as were admitted")
+			if 2*previous < defaultSlots {
+				require.LessOrEqual(t, len(sent), max(1, 2*previous), "at most twice as many as were admitted")
 			}
-			most = len(sent)
+			previous = len(sent)
 			for _, attempt := range sent {
 				attempt.End(exchange.ResultServed, now)
 			}
 			now = now.Add(time.Second)
 		}
-		require.Equal(t, 40, most)
+		require.Equal(t, 40, previous)
 	})
 }
 
-func TestALongStreamDoesNotKeepAServerFromBeingTried(t *testing.T) {
-	set := alike(1, begin)
+func TestLongStreamDoesNotBlockSlowStart(t *testing.T) {
+	set := newUniformSet(1, begin)
 	stream := send(set, "i-0", 0, begin)
-	set.Notice("i-0", Notice{Rest: time.Second}, begin)
+	set.Notice("i-0", Notice{RetryAfter: time.Second}, begin)
 	after := begin.Add(2 * time.Second)
 	require.False(t, candidate(set, "i-0", after).Busy, "it began before the rest")
-	trial := send(set, "i-0", 0, after)
+	first := send(set, "i-0", 0, after)
 	require.True(t, candidate(set, "i-0", after).Busy)
-	trial.Started(after)
+	first.ResponseStarted(after)
 	require.False(t, candidate(set, "i-0", after).Busy, "the server works on the first")
-	set.Notice("i-0", Notice{Rest: time.Second}, after)
+	set.Notice("i-0", Notice{RetryAfter: time.Second}, after)
 	after = after.Add(2 * time.Second)
 	require.False(t, candidate(set, "i-0", after).Busy, "what tried it before the second rest counts no more")
 	stream.End(exchange.ResultServed, after)
-	trial.End(exchange.ResultServed, after)
+	first.End(exchange.ResultServed, after)
 	require.False(t, candidate(set, "i-0", after).Busy)
 }
 
-func TestAnEndlessRestIsTriedOnceInAWhile(t *testing.T) {
-	set := alike(1, begin)
-	set.draw = func() float64 { return 1 }
-	set.Notice("i-0", Notice{Rest: 1<<63 - 1}, begin)
-	require.Positive(t, candidate(set, "i-0", begin.Add(longestRest)).RestLeft)
-	require.Zero(t, candidate(set, "i-0", begin.Add(longestRest+mostSpread)).RestLeft)
+func TestBackoffIsCapped(t *testing.T) {
+	set := newUniformSet(1, begin)
+	set.random = func() float64 { return 1 }
+	set.Notice("i-0", Notice{RetryAfter: 1<<63 - 1}, begin)
+	require.Positive(t, candidate(set, "i-0", begin.Add(maxBackoff)).BackoffLeft)
+	require.Zero(t, candidate(set, "i-0", begin.Add(maxBackoff+maxJitter)).BackoffLeft)
 }
 
-// Load pattern: a service that is short of room turns all nodes away in the same moment, and
-// all of them have more requests waiting than its slots. With the rest alone, the end of it is
-// a herd: as many requests at once as wait at all nodes. The bound is one for each node that
-// the spread brings back within one answer's time, and what a server admits.
-func TestNodesDoNotComeBackAsAHerd(t *testing.T) {
+// Guards against a thundering herd after an overloaded service has refused all nodes at the same
+// moment, each with more waiting requests than the server has slots. The bound is one request
+// for each node that jitter brings back within one response time.
+func TestBackoffEndCausesNoThunderingHerd(t *testing.T) {
 	const (
 		nodes   = 200
 		waiting = 20
@@ -154,11 +154,11 @@
 	sets := make([]*Set, nodes)
 	for i := range sets {
 		sets[i] = NewSet()
-		sets[i].draw = func() float64 { return float64(i) / nodes }
+		sets[i].random = func() float64 { return float64(i) / nodes }
 		sets[i].Update([]Server{{Instance: "i-0", Service: "s", Slots: slots}}, begin)
-		sets[i].Notice("i-0", Notice{Rest: 3 * time.Second}, begin)
+		sets[i].Notice("i-0", Notice{RetryAfter: 3 * time.Second}, begin)
 	}
-	most, running := 0, map[*Attempt]time.Time{}
+	peak, running := 0, map[*Attempt]time.Time{}
 	served := 0
 	for now := begin; now.Before(begin.Add(5 * time.Second)); now = now.Add(step) {
 		for attempt, ends := range running {
@@ -171,15 +171,15 @@
 		for _, set := range sets {
 			for range waiting {
 				c := candidate(set, "i-0", now)
-				if c.RestLeft > 0 || c.Busy || now.After(begin.Add(3*time.Second+answer)) {
+				if c.BackoffLeft > 0 || c.Busy || now.After(begin.Add(3*time.Second+answer)) {
 					break
 				}
 				running[send(set, "i-0", 0, now)] = now.Add(answer)
 			}
 		}
-		most = max(most, len(running))
+		peak = max(peak, len(running))
 	}
-	// 35 were measured; 3,800 without the steps, and 400 without the spread.
-	require.LessOrEqual(t, most, nodes*int(answer+2*step)/int(spread), fmt.Sprint(served, " served"))
+	// Peak: 35 requests; 3,800 without slow start, and 400 without jitter.
+	require.LessOrEqual(t, peak, nodes*int(answer+2*step)/int(spread), fmt.Sprint(served, " served"))
 	require.Positive(t, served)
 }
--- a/internal/backend/packed_test.go
+++ b/internal/backend/packed_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestAListIsUnpackedAsItWasPacked(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		var list []Server
 		for i := range rapid.IntRange(0, 30).Draw(t, "servers") {
@@ -37,9 +37,9 @@
 	})
 }
 
-func TestAListThatDoesNotHoldTogetherIsRefusedWhole(t *testing.T) {
+func TestUnpackRejectsInconsistentList(t *testing.T) {
 	good := Pack([]Server{{Instance: "i-1"}, {Instance: "i-2"}})
-	for name, harm := range map[string]func(p *Packed){
+	for name, corrupt := range map[string]func(p *Packed){
 		"an address is missing":       func(p *Packed) { p.Address = p.Address[:1] },
 		"an instance is missing":      func(p *Packed) { p.Instance = nil },
 		"a revision is missing":       func(p *Packed) { p.Revision = p.Revision[:1] },
@@ -49,16 +49,17 @@
 		"no kinds":                    func(p *Packed) { p.Kinds = nil },
 		"more instances than servers": func(p *Packed) { p.Instance = append([]string{"i-0"}, p.Instance...) },
 	} {
-		harmed := good
-		harm(&harmed)
-		list, err := harmed.Unpack()
+		corrupted := good
+		corrupt(&corrupted)
+		list, err := corrupted.Unpack()
 		require.Error(t, err, name)
 		require.Nil(t, list, name)
 	}
 }
 
-// A fleet of 10,000 servers is told in few bytes: all nodes that start at once are told it.
-func TestAListIsToldInFewBytes(t *testing.T) {
+// Guards against a large encoding: the list of 10,000 servers is sent to all nodes that start at
+// once.
+func TestPackedSizePerServer(t *testing.T) {
 	const servers, mostEach = 10_000, 48
 	var list []Server
 	for i := range servers {
--- a/internal/backend/ring.go
+++ b/internal/backend/ring.go
@@ -6,44 +6,44 @@
 	"sort"
 )
 
-// ring is the servers of one service in the order of their keys, which are hashes of their
-// instances. The servers that follow a point are a sample that all nodes draw alike, and
-// that changes by one where one server comes or goes.
-type ring []*state
+// ring holds the servers of one service, ordered by key, a hash of the incarnation name. The
+// servers that follow a point form a sample that is the same on all nodes and changes by at most
+// one server when one is added or removed.
+type ring []*entry
 
-// after returns the index of the first server whose key is not below a point; it may be the
-// length of the ring, from where it goes on at the beginning.
-func (r ring) after(point uint64) int {
+// search returns the index of the first server whose key is not below a point, or len(r) if
+// there is none; the ring then continues at index 0.
+func (r ring) search(point uint64) int {
 	return sort.Search(len(r), func(i int) bool { return r[i].key >= point })
 }
 
-func byKey(a, b *state) int { return cmp.Compare(a.key, b.key) }
+func compareKeys(a, b *entry) int { return cmp.Compare(a.key, b.key) }
 
-// join puts new servers into the rings of their services.
-func (set *Set) join(joined []*state) {
+// addToRings adds servers to the rings of their services.
+func (set *Set) addToRings(added []*entry) {
 	changed := map[string]bool{}
-	for _, known := range joined {
-		service := known.server.Service
-		set.rings[service] = append(set.rings[service], known)
+	for _, e := range added {
+		service := e.server.Service
+		set.rings[service] = append(set.rings[service], e)
 		changed[service] = true
 	}
 	for service := range changed {
-		slices.SortFunc(set.rings[service], byKey)
+		slices.SortFunc(set.rings[service], compareKeys)
 	}
 }
 
-// part takes servers out of the rings of their services.
-func (set *Set) part(left []*state) {
-	if len(left) == 0 {
+// removeFromRings removes servers from the rings of their services.
+func (set *Set) removeFromRings(removed []*entry) {
+	if len(removed) == 0 {
 		return
 	}
-	leaves := make(map[*state]bool, len(left))
+	isRemoved := make(map[*entry]bool, len(removed))
 	services := map[string]bool{}
-	for _, known := range left {
-		leaves[known] = true
-		services[known.server.Service] = true
+	for _, e := range removed {
+		isRemoved[e] = true
+		services[e.server.Service] = true
 	}
 	for service := range services {
-		set.rings[service] = slices.DeleteFunc(set.rings[service], func(s *state) bool { return leaves[s] })
+		set.rings[service] = slices.DeleteFunc(set.rings[service], func(s *entry) bool { return isRemoved[s] })
 	}
 }
--- a/internal/backend/ring_test.go
+++ b/internal/backend/ring_test.go
@@ -13,9 +13,9 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// names returns the instances of the servers near a point.
-func names(set *Set, near uint64, most int) []string {
-	query := Query{Service: "s", Distance: func(string) int { return 0 }, Near: near, Most: most}
+// subsetNames returns the names of the servers that follow a point on the ring.
+func subsetNames(set *Set, point uint64, limit int) []string {
+	query := Query{Service: "s", Distance: func(string) int { return 0 }, HashPoint: point, Limit: limit}
 	var all []string
 	for _, c := range set.Candidates(nil, query, begin) {
 		all = append(all, c.Endpoint)
@@ -23,9 +23,9 @@
 	return all
 }
 
-// All nodes find the same servers near a point, whatever each has heard of them in which
-// order, and a server that comes or goes changes at most one of them.
-func TestAllNodesFindTheSameServersNearAPoint(t *testing.T) {
+// All nodes select the same subset for a point, in whatever order they learned of the servers,
+// and adding or removing a server changes at most one member.
+func TestRingSubsetIsConsistentAcrossNodes(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
 		var list []Server
@@ -38,42 +38,43 @@
 			other.Apply([]*Server{&server}, nil, begin)
 		}
 		near, most := rapid.Uint64().Draw(t, "near"), rapid.IntRange(1, 20).Draw(t, "most")
-		before := names(one, near, most)
-		require.Equal(t, before, names(other, near, most))
+		before := subsetNames(one, near, most)
+		require.Equal(t, before, subsetNames(other, near, most))
 		require.Len(t, before, min(most, servers))
-		require.ElementsMatch(t, names(one, near, 0), names(other, 0, 0), "without a bound, all are found")
+		require.ElementsMatch(t, subsetNames(one, near, 0), subsetNames(other, 0, 0), "without a bound, all are found")
 		if servers == 1 {
 			return
 		}
 		left := rapid.SampledFrom(list).Draw(t, "left").Instance
 		one.Apply(nil, []string{left}, begin)
 		kept := 0
-		for _, name := range names(one, near, most) {
+		for _, name := range subsetNames(one, near, most) {
 			if slices.Contains(before, name) {
 				kept++
 			}
 		}
 		require.GreaterOrEqual(t, kept, len(before)-1)
-		require.NotContains(t, names(one, near, most), left)
-		one.Apply(nil, nil, begin.Add(unlistedLife+time.Second))
+		require.NotContains(t, subsetNames(one, near, most), left)
+		one.Apply(nil, nil, begin.Add(unlistedRetention+time.Second))
 		require.Len(t, one.servers, servers-1, "it is forgotten")
 		require.Len(t, one.rings["s"], servers-1)
 		require.Len(t, one.byKey, servers-1)
 	})
 }
 
-// What a node has had to do with servers is kept for those alone.
-func TestANodeRemembersItsDealingsWithFewServers(t *testing.T) {
-	set := alike(100, begin)
+// Guards against local state being allocated for servers that the node has not contacted.
+func TestLocalStateIsAllocatedOnlyForContactedServers(t *testing.T) {
+	set := newUniformSet(100, begin)
 	send(set, "i-3", 10, begin)
 	set.Gone("i-4", begin)
-	require.Len(t, set.dealt, 2)
+	require.Len(t, set.withLocalState, 2)
 	require.Equal(t, []Work{{Server: ServerKey("i-3"), Running: 1, QueuedTokens: 10}}, set.Work(begin))
-	require.Zero(t, none, "what is shared is not changed")
+	require.Zero(t, emptyLocalState, "what is shared is not changed")
 }
 
-// Of more engines than are wanted, those that were used of late are returned and counted.
-func TestOfManyEnginesThoseInUseAreReturned(t *testing.T) {
+// If there are more engines than the limit, only the recently used ones are returned and
+// counted.
+func TestEnginesAboveLimitReturnsRecentlyUsed(t *testing.T) {
 	set := NewSet()
 	var list []Server
 	for i := range 20 {
@@ -82,7 +83,7 @@
 	list = append(list, Server{Instance: "plain", Service: "p"})
 	set.Update(list, begin)
 	send(set, "i-3", 0, begin)
-	set.TakeWork([]Work{{Server: ServerKey("i-4"), Running: 1}, {Server: ServerKey("plain"), Running: 1}}, begin.Add(time.Second))
+	set.ApplyPeerWork([]Work{{Server: ServerKey("i-4"), Running: 1}, {Server: ServerKey("plain"), Running: 1}}, begin.Add(time.Second))
 	check := func(most, want int, now time.Time) {
 		require.Len(t, set.Engines(most, time.Minute, now), want)
 		require.Equal(t, want, set.CountEngines(most, time.Minute, now))
@@ -94,9 +95,9 @@
 	check(20, 20, begin.Add(2*time.Minute))
 }
 
-// The memory of a set grows by at most so many bytes a server, since hundreds of nodes keep
-// thousands of servers of which they use few.
-func TestASetOfManyServersIsSmall(t *testing.T) {
+// Bounds the memory per server: each of hundreds of nodes keeps thousands of servers, of which
+// it uses few.
+func TestSetMemoryPerServer(t *testing.T) {
 	const servers, mostEach = 10_000, 320
 	var list []Server
 	for i := range servers {
@@ -104,17 +105,17 @@
 	}
 	list, err := Pack(list).Unpack()
 	require.NoError(t, err)
-	before := heap()
+	before := heapInUse()
 	set := NewSet()
 	set.Update(list, begin)
-	each := (heap() - before) / servers
+	each := (heapInUse() - before) / servers
 	t.Logf("%d bytes a server", each)
 	require.LessOrEqual(t, each, uint64(mostEach))
 	runtime.KeepAlive(set)
 }
 
-// heap is the bytes in use.
-func heap() uint64 {
+// heapInUse returns the bytes of allocated heap objects after garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -1,6 +1,6 @@
-// Package backend keeps what a node believes of the servers of opaque services:
-// which there are, what weights they hold, this node's own work on them, and
-// how they have treated it.
+// Package backend tracks the servers of proxied services as seen by one node: which servers
+// exist, which model versions they have loaded, how much work this and other nodes run on them,
+// and how recent attempts on them have fared.
 package backend
 
 import (
@@ -12,131 +12,132 @@
 )
 
 const (
-	// refusalRest is how long a server that refused is passed over while others
-	// have room. It is about the time in which a full queue moves on.
-	refusalRest = 100 * time.Millisecond
-	// failureHalfLife is the time in which an observed failure loses half of its
-	// weight.
+	// refusalBackoff is how long a server that refused a request is skipped while others have
+	// capacity: about the time in which a full queue advances.
+	refusalBackoff = 100 * time.Millisecond
+	// failureHalfLife is the half-life of an observed failure in the failure rate.
 	failureHalfLife = 3 * time.Second
-	// unlistedLife is how long a server that vanished from the list is still used
-	// if no other is there. The list loses entries while its store is down.
-	unlistedLife = 15 * time.Second
-	// goneLife is how long a server is passed over after another incarnation answered
-	// in its place. By then the list does not name it any more; if it does, the answer
-	// was wrong.
-	goneLife = 10 * time.Second
+	// unlistedRetention is how long a server that was removed from the list remains usable as a
+	// last resort. The list loses entries while the store is down.
+	unlistedRetention = 15 * time.Second
+	// replacedRetention is how long a server is excluded after another incarnation answered at its
+	// address. By then its entry has lapsed from the list; if it is still listed, the answer was
+	// wrong.
+	replacedRetention = 10 * time.Second
 )
 
 var (
-	// unreachedBreaker rests a server at the first connection that does not come up. Most
-	// such servers are gone: they start again under another name. The rest is longer than
-	// the way of a suspicion through the fleet, three questions, so that all nodes share
-	// it while it lasts.
-	unreachedBreaker = retry.BreakerConfig{Failures: 1, Rest: 1500 * time.Millisecond, MaximumRest: 4 * time.Second}
-	// brokenBreaker rests a server that fails again and again.
-	brokenBreaker = retry.BreakerConfig{Failures: 3, Rest: 400 * time.Millisecond, MaximumRest: 4 * time.Second}
+	// connectBreaker opens on the first failed connection, since most such servers are gone and
+	// restart under another name. The open interval exceeds the time a suspicion needs to reach all
+	// nodes, three polls, so that all nodes share it while it lasts.
+	connectBreaker = retry.BreakerConfig{Failures: 1, OpenDuration: 1500 * time.Millisecond, MaxOpenDuration: 4 * time.Second}
+	// responseBreaker opens after repeated failures of requests on established connections.
+	responseBreaker = retry.BreakerConfig{Failures: 3, OpenDuration: 400 * time.Millisecond, MaxOpenDuration: 4 * time.Second}
 )
 
-// Set holds all servers. It is safe for concurrent use.
+// Set holds all known servers. It is safe for concurrent use.
 type Set struct {
 	mutex sync.Mutex
-	// servers holds the states by incarnation, and lives that of the latest incarnation of
-	// each id.
-	servers map[string]*state
-	lives   map[string]*state
-	// rings holds the servers of each service in the order of their keys.
+	// servers maps incarnation names to entries, and latest maps each instance ID to its latest
+	// incarnation.
+	servers map[string]*entry
+	latest  map[string]*entry
+	// rings holds the servers of each service, ordered by key.
 	rings map[string]ring
-	byKey map[uint64]*state
-	// unlisted holds the servers that have vanished from the list, dealt those that this
-	// node has had to do with, and told those at which others have work under way: a node
-	// has to do with few of all servers.
-	unlisted map[*state]bool
-	dealt    map[*state]bool
-	told     []*state
-	// used holds the servers at which any node had work of late.
-	used map[*state]bool
-	// leavers holds the incarnations that have said that they leave.
-	leavers leavers
-	// draw returns a random number from 0 to 1.
-	draw func() float64
-	// othersUntil is how long what other nodes told of their work counts, and loadingUntil
-	// what the holder of the roll-out told of loads.
-	othersUntil  time.Time
-	loading      []*state
-	loadingUntil time.Time
+	byKey map[uint64]*entry
+	// unlisted holds the servers that have been removed from the list, withLocalState those that
+	// this node has contacted, and withPeerWork those on which other nodes report work. The
+	// separate indexes avoid scanning all servers, since a node contacts only a few of them.
+	unlisted       map[*entry]bool
+	withLocalState map[*entry]bool
+	withPeerWork   []*entry
+	// recentlyUsed holds the servers on which any node recently had work.
+	recentlyUsed map[*entry]bool
+	// drainingServers holds the incarnations that have announced that they are shutting down.
+	drainingServers drainingSet
+	// random returns a random number from 0 to 1.
+	random func() float64
+	// peerWorkUntil is when the work reported by other nodes expires, and loadingUntil when the
+	// loading state reported by the rollout holder expires.
+	peerWorkUntil time.Time
+	loading       []*entry
+	loadingUntil  time.Time
 }
 
-type state struct {
+// entry is the state of one server incarnation in a Set.
+type entry struct {
 	server *Server
-	// name is that of its incarnation, and key its ServerKey.
+	// name is the incarnation name, and key its ServerKey.
 	name string
 	key  uint64
-	// others is what other nodes have under way.
-	others Work
-	// listed is false once the server has vanished from the list.
+	// peerWork is the work that other nodes have in flight on the server.
+	peerWork Work
+	// listed is false once the server has been removed from the list, at unlistedAt.
 	listed     bool
 	unlistedAt time.Time
-	// leaves says that the server has said that it leaves, to this node or another one.
-	leaves bool
-	// load is the move that it is making, or nil.
+	// draining is set once the server has announced to any node that it is shutting down.
+	draining bool
+	// load is the model load in progress, or nil.
 	load *Load
-	// usedAt is when a node was last known to have work there.
-	usedAt time.Time
-	// dealings is nil until this node has had to do with the server.
-	*dealings
+	// lastUsedAt is when any node was last known to have work on the server.
+	lastUsedAt time.Time
+	// localState is nil until this node has contacted the server.
+	*localState
 }
 
-// dealings is what this node has had to do with one server. It is most of what is known of
-// one, and there for few.
-type dealings struct {
-	// goneUntil is how long the word counts that another incarnation answers in its
-	// place.
-	goneUntil time.Time
-	inFlight  int
-	// deferred counts those of them that let others go first and have not started.
+// localState is what this node has observed of one server first-hand. It makes up most of the
+// memory of an entry and is allocated only for the few servers that the node contacts.
+type localState struct {
+	// replacedUntil is until when the server is excluded because another incarnation answered at
+	// its address.
+	replacedUntil time.Time
+	inFlight      int
+	// deferred counts the attempts in flight that yield to all others and have not started.
 	deferred int
-	// heardAt is when the server last answered anything, and answeredSent when the latest
-	// attempt was sent that it has answered.
-	heardAt      time.Time
-	answeredSent time.Time
-	// unreachedAt is when a connection to it failed last to come up.
-	unreachedAt  time.Time
-	queuedTokens int
-	busyUntil    time.Time
-	rest         rest
-	// saidLeaving says that the server has told this node that it leaves.
-	saidLeaving bool
-	breaker     retry.Breaker
-	// failures are attempts that failed, and refusals those that the server did not run.
-	failures failureShare
-	refusals failureShare
+	// lastResponseAt is when the server last responded to any attempt, and lastAnsweredSentAt the
+	// send time of the most recently sent attempt that it answered.
+	lastResponseAt     time.Time
+	lastAnsweredSentAt time.Time
+	// lastConnectFailureAt is when a connection to the server last failed to establish.
+	lastConnectFailureAt time.Time
+	queuedTokens         int
+	refusedUntil         time.Time
+	backoff              backoff
+	// drainingAnnounced reports that the server told this node directly that it is shutting down.
+	drainingAnnounced bool
+	breaker           retry.Breaker
+	// failures is the rate of attempts that failed, and refusals of those that the server declined
+	// to run.
+	failures failureRate
+	refusals failureRate
 }
 
 // NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{
-		servers: map[string]*state{}, lives: map[string]*state{}, rings: map[string]ring{}, byKey: map[uint64]*state{},
-		unlisted: map[*state]bool{}, dealt: map[*state]bool{}, used: map[*state]bool{},
-		draw: rand.Float64,
+		servers: map[string]*entry{}, latest: map[string]*entry{}, rings: map[string]ring{}, byKey: map[uint64]*entry{},
+		unlisted: map[*entry]bool{}, withLocalState: map[*entry]bool{}, recentlyUsed: map[*entry]bool{},
+		random: rand.Float64,
 	}
 }
 
-// find returns the incarnation of a name, or the latest one of an id; nil if there is none.
-func (set *Set) find(name string) *state {
-	if known := set.servers[name]; known != nil {
-		return known
+// lookup returns the entry of an incarnation name, or the latest incarnation of an instance ID;
+// nil if there is none.
+func (set *Set) lookup(name string) *entry {
+	if e := set.servers[name]; e != nil {
+		return e
 	}
-	return set.lives[name]
+	return set.latest[name]
 }
 
-// Change is one difference between two lists, for the log.
+// Change is one difference between two server lists, for logging.
 type Change struct {
 	Server Server
-	// Gone says that the server has vanished from the list.
+	// Gone reports that the server was removed from the list.
 	Gone bool
 }
 
-// Update takes a whole list of servers, and returns what is new in it.
+// Update replaces the server list and returns the changes.
 func (set *Set) Update(list []Server, now time.Time) []Change {
 	seen := make(map[string]bool, len(list))
 	changed := make([]*Server, len(list))
@@ -146,216 +147,222 @@
 	}
 	set.mutex.Lock()
 	var gone []string
-	for instance, known := range set.servers {
-		if known.listed && !seen[instance] {
-			gone = append(gone, instance)
+	for name, e := range set.servers {
+		if e.listed && !seen[name] {
+			gone = append(gone, name)
 		}
 	}
 	set.mutex.Unlock()
 	return set.Apply(changed, gone, now)
 }
 
-// Apply takes servers that are new or have changed, and the instances of those that have
-// vanished from the list. It returns what is new, and keeps the servers, which must not be
-// changed any more.
+// Apply adds or updates the changed servers, and unlists those named in gone. It returns the
+// changes. It retains the servers, which the caller must not modify afterwards.
 func (set *Set) Apply(changed []*Server, gone []string, now time.Time) []Change {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	var changes []Change
-	var joined []*state
+	var added []*entry
 	for _, server := range changed {
 		name := server.Incarnation()
-		known, found := set.servers[name]
-		if before := set.lives[server.Instance]; !found && before != nil {
-			if server.Born < before.server.Born {
-				// A word of a life that is over, which came late.
+		e, found := set.servers[name]
+		if previous := set.latest[server.Instance]; !found && previous != nil {
+			if server.Born < previous.server.Born {
+				// A delayed update of a former incarnation.
 				continue
 			}
-			changes = append(changes, set.unlist(before, now)...)
-			set.deal(before).goneUntil = now.Add(unlistedLife + goneLife)
+			changes = append(changes, set.markUnlisted(previous, now)...)
+			set.ensureLocalState(previous).replacedUntil = now.Add(unlistedRetention + replacedRetention)
 		}
 		if !found {
 			key := ServerKey(name)
-			known = &state{name: name, key: key, leaves: set.leavers.has(key)}
-			set.servers[name], set.lives[server.Instance] = known, known
-			set.byKey[known.key] = known
-			joined = append(joined, known)
+			e = &entry{name: name, key: key, draining: set.drainingServers.has(key)}
+			set.servers[name], set.latest[server.Instance] = e, e
+			set.byKey[e.key] = e
+			added = append(added, e)
 		}
-		if !found || known.server.Draining != server.Draining {
+		if !found || e.server.Draining != server.Draining {
 			changes = append(changes, Change{Server: *server})
 		}
-		known.take(server)
-		delete(set.unlisted, known)
+		e.update(server)
+		delete(set.unlisted, e)
 	}
-	set.join(joined)
+	set.addToRings(added)
 	for _, instance := range gone {
-		if known := set.find(instance); known != nil {
-			changes = append(changes, set.unlist(known, now)...)
+		if e := set.lookup(instance); e != nil {
+			changes = append(changes, set.markUnlisted(e, now)...)
 		}
 	}
-	set.forget(now)
+	set.removeExpired(now)
 	return changes
 }
 
-// Begun takes that another incarnation of a server began, as its own answer shows, with the
-// weights that it has. The list will name it later.
-func (set *Set) Begun(former Server, born int64, versions map[string]int64, now time.Time) []Change {
+// ObserveRestart records that the server has restarted as a new incarnation, as its own answer
+// shows, with the model versions that it reports. The list will include the new incarnation
+// later.
+func (set *Set) ObserveRestart(former Server, born int64, versions map[string]int64, now time.Time) []Change {
 	next := former
 	next.Born, next.Versions, next.Draining = born, versions, false
 	return set.Apply([]*Server{&next}, nil, now)
 }
 
-// unlist notes that a server has vanished from the list, and returns that if it is new.
-func (set *Set) unlist(known *state, now time.Time) []Change {
-	if !known.listed {
+// markUnlisted records that a server was removed from the list. It returns a change unless that
+// was known.
+func (set *Set) markUnlisted(e *entry, now time.Time) []Change {
+	if !e.listed {
 		return nil
 	}
-	known.listed, known.unlistedAt = false, now
-	set.unlisted[known] = true
-	return []Change{{Server: *known.server, Gone: true}}
+	e.listed, e.unlistedAt = false, now
+	set.unlisted[e] = true
+	return []Change{{Server: *e.server, Gone: true}}
 }
 
-// forget drops the servers that vanished long ago and have nothing under way.
-func (set *Set) forget(now time.Time) {
-	var left []*state
-	for known := range set.unlisted {
-		if now.Sub(known.unlistedAt) > unlistedLife && known.underWay() == 0 {
-			left = append(left, known)
+// removeExpired removes servers that have been unlisted for longer than unlistedRetention and
+// have no attempts in flight.
+func (set *Set) removeExpired(now time.Time) {
+	var expired []*entry
+	for e := range set.unlisted {
+		if now.Sub(e.unlistedAt) > unlistedRetention && e.attempts() == 0 {
+			expired = append(expired, e)
 		}
 	}
-	for _, known := range left {
-		delete(set.unlisted, known)
-		delete(set.dealt, known)
-		delete(set.used, known)
-		delete(set.servers, known.name)
-		if set.lives[known.server.Instance] == known {
-			delete(set.lives, known.server.Instance)
+	for _, e := range expired {
+		delete(set.unlisted, e)
+		delete(set.withLocalState, e)
+		delete(set.recentlyUsed, e)
+		delete(set.servers, e.name)
+		if set.latest[e.server.Instance] == e {
+			delete(set.latest, e.server.Instance)
 		}
-		delete(set.byKey, known.key)
+		delete(set.byKey, e.key)
 	}
-	set.part(left)
+	set.removeFromRings(expired)
 }
 
-// underWay counts this node's attempts at the server.
-func (state *state) underWay() int {
-	if state.dealings == nil {
+// attempts returns the number of this node's attempts in flight on the server.
+func (entry *entry) attempts() int {
+	if entry.localState == nil {
 		return 0
 	}
-	return state.inFlight
+	return entry.inFlight
 }
 
-// take follows the server's word of itself. The list lags behind what answers
-// have shown, and the weights of one incarnation only grow newer.
-func (state *state) take(server *Server) {
-	before := state.server
-	state.server, state.listed = server, true
-	if before == nil {
+// update replaces the description of the server. Model versions that its answers have already
+// shown are kept if newer: the list lags behind, and the versions of one incarnation never
+// decrease.
+func (entry *entry) update(server *Server) {
+	previous := entry.server
+	entry.server, entry.listed = server, true
+	if previous == nil {
 		return
 	}
-	for model, version := range before.Versions {
-		state.learn(model, version)
+	for model, version := range previous.Versions {
+		entry.observeVersion(model, version)
 	}
 }
 
-// learn takes a version of a model's weights that the server has, unless it is known to
-// have a newer one. What it refused until then it may have refused since it was loading them.
-func (state *state) learn(model string, version int64) {
-	if state.server.Versions[model] >= version {
+// observeVersion records a model version that the server has loaded, unless it is known to have
+// a newer one. It resets the refusal rate, since earlier refusals may have been due to loading.
+func (entry *entry) observeVersion(model string, version int64) {
+	if entry.server.Versions[model] >= version {
 		return
 	}
-	if state.dealings != nil {
-		state.refusals = failureShare{}
+	if entry.localState != nil {
+		entry.refusals = failureRate{}
 	}
-	server := state.server.clone()
+	server := entry.server.clone()
 	server.Versions[model] = version
-	state.server = &server
+	entry.server = &server
 }
 
-// deal returns what this node has had to do with a server, for a change.
-func (set *Set) deal(known *state) *dealings {
-	if known.dealings == nil {
-		known.dealings = &dealings{}
-		set.dealt[known] = true
+// ensureLocalState returns the local state of a server for modification, allocating it if
+// necessary.
+func (set *Set) ensureLocalState(e *entry) *localState {
+	if e.localState == nil {
+		e.localState = &localState{}
+		set.withLocalState[e] = true
 	}
-	return known.dealings
+	return e.localState
 }
 
-// none is what this node has had to do with servers that it never met. It is not changed.
-var none dealings
+// emptyLocalState is the shared read-only state of servers that this node has not contacted. It
+// must not be modified.
+var emptyLocalState localState
 
-// dealt returns what this node has had to do with the server, to be read only.
-func (state *state) dealt() *dealings {
-	if state.dealings == nil {
-		return &none
+// local returns the local state for reading only.
+func (entry *entry) local() *localState {
+	if entry.localState == nil {
+		return &emptyLocalState
 	}
-	return state.dealings
+	return entry.localState
 }
 
-// Servers returns the listed servers that are not known to be gone.
+// Servers returns the listed servers, without those that are known to be replaced.
 func (set *Set) Servers(now time.Time) []Server {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	servers := make([]Server, 0, len(set.servers))
-	for _, known := range set.servers {
-		if known.listed && !now.Before(known.dealt().goneUntil) {
-			server := *known.server
-			server.Draining = known.leaving()
+	for _, e := range set.servers {
+		if e.listed && !now.Before(e.local().replacedUntil) {
+			server := *e.server
+			server.Draining = e.isDraining()
 			servers = append(servers, server)
 		}
 	}
 	return servers
 }
 
-// Stays reports whether a server is listed and has not said that it leaves.
-func (set *Set) Stays(instance string) bool {
+// InService reports whether a server is listed and not draining.
+func (set *Set) InService(instance string) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.find(instance)
-	return known != nil && known.listed && !known.leaving()
+	e := set.lookup(instance)
+	return e != nil && e.listed && !e.isDraining()
 }
 
-// Listed reports whether a server, named by its ServerKey, stands in the list.
-func (set *Set) Listed(server uint64) bool {
+// Listed reports whether the server with the given ServerKey is in the list.
+func (set *Set) Listed(key uint64) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.byKey[server]
-	return known != nil && known.listed
+	e := set.byKey[key]
+	return e != nil && e.listed
 }
 
-// Ended reports whether there is a sign that a server has ended since a time: no connection to
-// it came up, another incarnation answered in its place, or it vanished from the list.
-func (set *Set) Ended(server uint64, since time.Time) bool {
+// Ended reports whether there is evidence that a server has terminated since a given time: a
+// connection to it failed to establish, another incarnation answered at its address, or it was
+// removed from the list.
+func (set *Set) Ended(key uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.byKey[server]
-	if known == nil || !known.listed {
+	e := set.byKey[key]
+	if e == nil || !e.listed {
 		return true
 	}
-	dealings := known.dealt()
-	return !dealings.goneUntil.IsZero() || dealings.unreachedAt.After(since)
+	local := e.local()
+	return !local.replacedUntil.IsZero() || local.lastConnectFailureAt.After(since)
 }
 
-// Gone notes that another incarnation answered in a server's place. The list goes on
-// to name it until its entry lapses.
+// Gone records that another incarnation answered at the address of a server. The list still
+// includes the server until its entry lapses.
 func (set *Set) Gone(instance string, now time.Time) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	if known := set.find(instance); known != nil {
-		set.deal(known).goneUntil = now.Add(goneLife)
+	if e := set.lookup(instance); e != nil {
+		set.ensureLocalState(e).replacedUntil = now.Add(replacedRetention)
 	}
 }
 
-// Learn notes the weights that a server's own answer showed.
-func (set *Set) Learn(instance string, versions map[string]int64) {
+// ObserveVersions records the model versions that a server's own answer has shown.
+func (set *Set) ObserveVersions(instance string, versions map[string]int64) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	for model, version := range versions {
-		set.learn(instance, model, version)
+		set.observeVersion(instance, model, version)
 	}
 }
 
-func (set *Set) learn(instance, model string, version int64) {
-	if known := set.find(instance); known != nil {
-		known.learn(model, version)
+func (set *Set) observeVersion(instance, model string, version int64) {
+	if e := set.lookup(instance); e != nil {
+		e.observeVersion(model, version)
 	}
 }
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -13,17 +13,17 @@
 )
 
 var (
-	begin = time.Unix(1000, 0)
-	near  = func(zone string) int { return map[string]int{"a": 0, "b": 1}[zone] }
-	query = Query{Service: "s", Model: "m", Distance: near}
+	begin        = time.Unix(1000, 0)
+	zoneDistance = func(zone string) int { return map[string]int{"a": 0, "b": 1}[zone] }
+	query        = Query{Service: "s", Model: "m", Distance: zoneDistance}
 )
 
 func server(instance string) Server {
 	return Server{Instance: instance, Service: "s", Zone: "a", Versions: map[string]int64{"m": 1}}
 }
 
-// only returns the one candidate of an instance.
-func only(t require.TestingT, set *Set, query Query, now time.Time, instance string) routing.Candidate {
+// candidateOf returns the candidate of an instance.
+func candidateOf(t require.TestingT, set *Set, query Query, now time.Time, instance string) routing.Candidate {
 	for _, candidate := range set.Candidates(nil, query, now) {
 		if candidate.Endpoint == instance {
 			return candidate
@@ -33,7 +33,7 @@
 	return routing.Candidate{}
 }
 
-func TestAVanishedServerIsUsedOnlyForWantOfOthers(t *testing.T) {
+func TestUnlistedServerIsLastResort(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x"), server("y")}, begin)
 	changes := set.Update([]Server{server("y")}, begin)
@@ -41,21 +41,21 @@
 	require.Len(t, set.Candidates(nil, query, begin), 1)
 	set.Update(nil, begin)
 	require.Len(t, set.Candidates(nil, query, begin), 2, "the list may have lost them")
-	set.Update(nil, begin.Add(unlistedLife+time.Second))
+	set.Update(nil, begin.Add(unlistedRetention+time.Second))
 	require.Empty(t, set.Candidates(nil, query, begin))
 }
 
-func TestADrainingServerIsNeverUsedAgain(t *testing.T) {
+func TestDrainingServerIsNeverReused(t *testing.T) {
 	set := NewSet()
-	leaving := server("x")
-	leaving.Draining = true
-	set.Update([]Server{leaving}, begin)
-	require.True(t, only(t, set, query, begin, "x").Leaving)
+	draining := server("x")
+	draining.Draining = true
+	set.Update([]Server{draining}, begin)
+	require.True(t, candidateOf(t, set, query, begin, "x").Leaving)
 	set.Update(nil, begin)
 	require.Empty(t, set.Candidates(nil, query, begin), "not even when it has vanished")
 }
 
-func TestWeightsOnlyGrowNewer(t *testing.T) {
+func TestModelVersionNeverDecreases(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
 		set.Update([]Server{server("x")}, begin)
@@ -64,38 +64,38 @@
 			version := rapid.Int64Range(1, 9).Draw(t, "version")
 			newest = max(newest, version)
 			if rapid.Bool().Draw(t, "learned") {
-				set.Learn("x", map[string]int64{"m": version})
+				set.ObserveVersions("x", map[string]int64{"m": version})
 			} else {
 				listed := server("x")
 				listed.Versions["m"] = version
 				set.Update([]Server{listed}, begin)
 			}
-			require.Equal(t, newest, only(t, set, query, begin, "x").Version)
+			require.Equal(t, newest, candidateOf(t, set, query, begin, "x").Version)
 			older := query
 			older.MinimumVersion = newest + 1
-			require.False(t, only(t, set, older, begin, "x").Ready)
+			require.False(t, candidateOf(t, set, older, begin, "x").Ready)
 		}
 	})
 }
 
-func TestALoadingServerIsNotReadyUntilItHasItsWeights(t *testing.T) {
+func TestLoadingServerIsNotReady(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x"), server("y")}, begin)
-	set.Load(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
-	require.False(t, only(t, set, query, begin, "x").Ready)
-	require.True(t, only(t, set, query, begin, "y").Ready)
-	require.True(t, only(t, set, query, begin.Add(loadingLife), "x").Ready, "whoever said so may be gone")
-	set.Learn("x", map[string]int64{"m": 2})
-	require.True(t, only(t, set, query, begin, "x").Ready)
-	set.Load(Loads{Loading: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
-	set.Load(Loads{Loaded: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
-	require.True(t, only(t, set, query, begin, "y").Ready)
-	require.Equal(t, int64(2), only(t, set, query, begin, "y").Version, "known at once, not only from the list")
-	set.Load(Loads{Loading: []Load{{Instance: "y", Model: "other", Version: 9}}}, begin)
-	require.True(t, only(t, set, query, begin, "y").Ready, "another model is no concern")
+	set.SetLoads(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
+	require.False(t, candidateOf(t, set, query, begin, "x").Ready)
+	require.True(t, candidateOf(t, set, query, begin, "y").Ready)
+	require.True(t, candidateOf(t, set, query, begin.Add(loadingTTL), "x").Ready, "whoever said so may be gone")
+	set.ObserveVersions("x", map[string]int64{"m": 2})
+	require.True(t, candidateOf(t, set, query, begin, "x").Ready)
+	set.SetLoads(Loads{Loading: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
+	set.SetLoads(Loads{Loaded: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
+	require.True(t, candidateOf(t, set, query, begin, "y").Ready)
+	require.Equal(t, int64(2), candidateOf(t, set, query, begin, "y").Version, "known at once, not only from the list")
+	set.SetLoads(Loads{Loading: []Load{{Instance: "y", Model: "other", Version: 9}}}, begin)
+	require.True(t, candidateOf(t, set, query, begin, "y").Ready, "another model is no concern")
 }
 
-func TestWorkInFlightIsCountedExactly(t *testing.T) {
+func TestInFlightCountIsExact(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
 		set.Update([]Server{server("x")}, begin)
@@ -111,50 +111,50 @@
 			}
 			index := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 			if rapid.Bool().Draw(t, "started") {
-				open[index].Started(begin)
+				open[index].ResponseStarted(begin)
 			}
 			open[index].End(rapid.SampledFrom(results).Draw(t, "result"), begin)
 			open[index].End(exchange.ResultServed, begin)
 			open = append(open[:index], open[index+1:]...)
 		}
-		require.Equal(t, len(open), only(t, set, query, begin, "x").InFlight)
+		require.Equal(t, len(open), candidateOf(t, set, query, begin, "x").InFlight)
 		for _, attempt := range open {
 			attempt.End(exchange.ResultNeutral, begin)
 		}
-		require.Zero(t, only(t, set, query, begin, "x").InFlight)
-		require.Zero(t, only(t, set, query, begin, "x").QueuedTokens)
+		require.Zero(t, candidateOf(t, set, query, begin, "x").InFlight)
+		require.Zero(t, candidateOf(t, set, query, begin, "x").QueuedTokens)
 	})
 }
 
-func TestAnUnreachedServerRestsAndIsProbedOnce(t *testing.T) {
+func TestUnreachableServerOpensBreakerAndIsProbedOnce(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x")}, begin)
 	send(set, "x", 0, begin).End(exchange.ResultUnreached, begin)
-	require.True(t, only(t, set, query, begin, "x").Resting)
-	later := begin.Add(unreachedBreaker.Rest)
-	require.False(t, only(t, set, query, later, "x").Resting)
+	require.True(t, candidateOf(t, set, query, begin, "x").BreakerOpen)
+	later := begin.Add(connectBreaker.OpenDuration)
+	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen)
 	probe := send(set, "x", 0, later)
-	require.True(t, only(t, set, query, later, "x").Resting, "one probe at a time")
+	require.True(t, candidateOf(t, set, query, later, "x").BreakerOpen, "one probe at a time")
 	probe.End(exchange.ResultNeutral, later)
-	require.False(t, only(t, set, query, later, "x").Resting, "the probe said nothing")
+	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen, "the probe said nothing")
 	send(set, "x", 0, later).End(exchange.ResultServed, later)
-	require.False(t, only(t, set, query, later, "x").Resting)
+	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen)
 }
 
-func TestFailuresFade(t *testing.T) {
+func TestFailureRateDecays(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x")}, begin)
-	require.Zero(t, only(t, set, query, begin, "x").FailureShare)
+	require.Zero(t, candidateOf(t, set, query, begin, "x").FailureRate)
 	for range 4 {
 		send(set, "x", 0, begin).End(exchange.ResultFaulty, begin)
 	}
-	fresh := only(t, set, query, begin, "x").FailureShare
+	fresh := candidateOf(t, set, query, begin, "x").FailureRate
 	require.InDelta(t, 4.0/(4+priorAttempts), fresh, 1e-9)
-	require.Less(t, only(t, set, query, begin.Add(failureHalfLife), "x").FailureShare, fresh)
+	require.Less(t, candidateOf(t, set, query, begin.Add(failureHalfLife), "x").FailureRate, fresh)
 }
 
-// Guards against servers that shed requests being chosen as often as those that take them.
-func TestAServerThatRefusesIsChosenLessOften(t *testing.T) {
+// Guards against shedding servers being selected as often as those that accept requests.
+func TestRefusalsRaiseFailureRate(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x")}, begin)
 	refuse := func(now time.Time) {
@@ -162,7 +162,7 @@
 			send(set, "x", 0, now).End(exchange.ResultRefused, now)
 		}
 	}
-	share := func(now time.Time) float64 { return only(t, set, query, now, "x").FailureShare }
+	share := func(now time.Time) float64 { return candidateOf(t, set, query, now, "x").FailureRate }
 	refuse(begin)
 	refused := share(begin)
 	require.InDelta(t, 4.0/(4+priorAttempts), refused, 1e-9)
@@ -177,28 +177,28 @@
 
 	later := begin.Add(time.Minute)
 	before := share(later)
-	set.Notice("x", Notice{Rest: time.Second}, later)
+	set.Notice("x", Notice{RetryAfter: time.Second}, later)
 	refuse(later)
 	require.Equal(t, before, share(later), "a server that says when to come back is used again then")
 
 	later = later.Add(time.Minute)
 	refuse(later)
 	require.Positive(t, share(later))
-	set.Learn("x", map[string]int64{"m": 2})
+	set.ObserveVersions("x", map[string]int64{"m": 2})
 	require.Less(t, share(later), 0.01, "it was loading")
 }
 
-func TestAnAnswerToAnyoneShowsThatAServerLives(t *testing.T) {
+func TestAnyResponseShowsServerIsAlive(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x")}, begin)
 	waiting, other := send(set, "x", 0, begin), send(set, "x", 0, begin)
-	require.False(t, waiting.HeardSince(begin))
-	other.Started(begin.Add(time.Second))
-	require.True(t, waiting.HeardSince(begin))
-	require.False(t, waiting.HeardSince(begin.Add(time.Second)))
+	require.False(t, waiting.ServerRespondedSince(begin))
+	other.ResponseStarted(begin.Add(time.Second))
+	require.True(t, waiting.ServerRespondedSince(begin))
+	require.False(t, waiting.ServerRespondedSince(begin.Add(time.Second)))
 }
 
-func TestAServerInWhosePlaceAnotherAnsweredIsPassedOverUntilTheListMustKnow(t *testing.T) {
+func TestReplacedServerIsExcludedUntilRetentionEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := NewSet()
 	list := []Server{{Instance: "old", Service: "s", Address: "a"}, {Instance: "other", Service: "s", Address: "b"}}
@@ -215,16 +215,16 @@
 	set.Update(list, now.Add(time.Second))
 	require.Equal(t, []string{"other"}, names(now.Add(time.Second)), "the list lags")
 	require.Len(t, set.Servers(now.Add(time.Second)), 1)
-	require.Len(t, names(now.Add(goneLife)), 2, "one wrong answer condemns nobody for ever")
+	require.Len(t, names(now.Add(replacedRetention)), 2, "one wrong answer condemns nobody for ever")
 
-	// A list that names only a replaced server is no reason to use one that has left it.
+	// A replaced server in the list does not make an unlisted one usable.
 	set.Update(list[:1], now.Add(time.Second))
 	require.Empty(t, names(now.Add(time.Second)))
 }
 
-// A load that waits for long runs takes longer than the word of it counts: while its
-// holder goes on to tell of it, the server gets no requests that it would reject.
-func TestAServerLoadsForAsLongAsItIsTold(t *testing.T) {
+// Guards against requests to a server whose load takes longer than loadingTTL because it waits
+// for long runs: the loading state lasts while the holder renews it.
+func TestLoadingStateIsExtendedByRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := NewSet()
 	set.Update([]Server{{Instance: "i-1", Service: "s", Versions: map[string]int64{"m": 1}}}, now)
@@ -234,16 +234,16 @@
 		return set.Candidates(nil, query, now)[0].Loading
 	}
 	for range 10 {
-		set.Load(loads, now)
-		now = now.Add(loadingLife - time.Millisecond)
+		set.SetLoads(loads, now)
+		now = now.Add(loadingTTL - time.Millisecond)
 		require.True(t, loading())
 	}
 	now = now.Add(time.Millisecond)
 	require.False(t, loading(), "its holder may be lost")
 }
 
-// An attempt that lets all others go first is no work that they wait for until it starts.
-func TestADeferredAttemptCountsFromItsStart(t *testing.T) {
+// A deferred attempt does not count as work that delays others until it has started.
+func TestDeferredAttemptCountsOnceStarted(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{{Instance: "x", Service: "s", Slots: 4}}, begin)
 	running := func() int {
@@ -255,8 +255,8 @@
 	deferred, other := sendDeferred(set, "x", begin), sendDeferred(set, "x", begin)
 	require.Zero(t, running())
 	require.Empty(t, set.Work(begin))
-	deferred.Started(begin)
-	deferred.Started(begin)
+	deferred.ResponseStarted(begin)
+	deferred.ResponseStarted(begin)
 	require.Equal(t, 1, running())
 	other.End(exchange.ResultBroken, begin)
 	require.Equal(t, 1, running())
--- a/internal/backend/refusal_test.go
+++ b/internal/backend/shedding_test.go
@@ -10,19 +10,19 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Load pattern: four of eleven servers shed seven requests in ten for half a minute, in fewer
-// requests than fill the others. Guards against requests that are refused beside servers that have
-// room: those that shed are tried now and then, by less than half of their even share.
-func TestServersThatShedGetLessThanTheirShare(t *testing.T) {
+// Load pattern: four of eleven servers shed 70% of their requests for half a minute, at a load
+// that does not fill the others. Guards against refusals while other servers have capacity:
+// shedding servers are still tried now and then, at less than half of their even share.
+func TestSheddingServersGetReducedShare(t *testing.T) {
 	const (
 		servers, shedding = 11, 4
 		step, answer      = 5 * time.Millisecond, 50 * time.Millisecond
 		warmUp, end       = time.Second, 30 * time.Second
 	)
-	set := alike(servers, begin)
+	set := newUniformSet(servers, begin)
 	sheds := map[string]bool{"i-0": true, "i-1": true, "i-2": true, "i-3": true}
-	request := &routing.Request{TurnSeconds: 0.01, FailureCost: 0.3}
-	scheduler := routing.NewScheduler(routing.TurnScorer{}, routing.DistanceScorer{}, routing.FailureScorer{})
+	request := &routing.Request{ConcurrencyCost: 0.01, FailureCost: 0.3}
+	scheduler := routing.NewScheduler(routing.ConcurrencyScorer{}, routing.DistanceScorer{}, routing.FailureScorer{})
 	running := map[*Attempt]time.Time{}
 	sent, toShedding := 0, 0
 	for elapsed := time.Duration(0); elapsed < end; elapsed += step {
@@ -34,7 +34,7 @@
 			}
 		}
 		near := ServerKey(now.String())
-		all := set.Candidates(nil, Query{Service: "s", Near: near, Distance: func(string) int { return 0 }}, now)
+		all := set.Candidates(nil, Query{Service: "s", HashPoint: near, Distance: func(string) int { return 0 }}, now)
 		chosen := all[scheduler.Schedule(request, all).Index].Endpoint
 		attempt := send(set, chosen, 0, now)
 		shed := sheds[chosen] && ServerKey(chosen+now.String())%10 < 7
--- a/internal/backend/work.go
+++ b/internal/backend/work.go
@@ -6,64 +6,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Work is what nodes have under way at one server.
+// Work is the work that one or more nodes have in flight on a server.
 type Work struct {
-	// Server is the ServerKey of the server's incarnation.
+	// Server is the ServerKey of the incarnation.
 	Server uint64
-	// Running counts the attempts in flight, and QueuedTokens the prompt tokens of
-	// those that have not begun to answer.
+	// Running is the number of attempts in flight, and QueuedTokens the prompt tokens of those that
+	// have not begun to answer.
 	Running      int
 	QueuedTokens int
-	// Suspects counts the nodes that let the server rest after failures. A node to which the
-	// server has said that it leaves counts as leavingSuspects.
+	// Suspects is the number of nodes whose breaker for the server is open. A node that the server
+	// has told that it is shutting down counts as drainingSuspects.
 	Suspects int
 }
 
-// leavingSuspects is more than any fleet has nodes. The word goes the way of suspicions since
-// that costs no byte, goes first where not all is told, and lets also builds that do not know
-// it pass the server over.
-const leavingSuspects = 1 << 20
+// drainingSuspects marks a draining server in Work.Suspects; no fleet has as many nodes. The
+// mark takes no extra bytes in this field, is sent first where reports are truncated, and makes
+// builds that do not know it skip the server too.
+const drainingSuspects = 1 << 20
 
-// Leaving reports whether the server has said to a node that it leaves.
-func (w Work) Leaving() bool { return w.Suspects >= leavingSuspects }
+// Draining reports whether the server has told any node that it is shutting down.
+func (w Work) Draining() bool { return w.Suspects >= drainingSuspects }
 
-// ServerKey is the short name of a server's incarnation between nodes.
+// ServerKey returns the hash that identifies an incarnation in messages between nodes.
 func ServerKey(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
 const (
-	// workLife is how long the word of other nodes counts if it is not renewed.
-	workLife = time.Second
-	// enoughSuspects is how many other nodes must let a server rest for this node to
-	// pass it over unseen. One alone may have lost its own way to the server.
-	enoughSuspects = 2
-	// trustedShare is the share of its servers that a node may let rest before its
-	// suspicion says more about itself.
-	trustedShare = 1.0 / 3
+	// peerWorkTTL is how long work reported by other nodes counts unless renewed.
+	peerWorkTTL = time.Second
+	// suspectQuorum is the number of other nodes that must suspect a server for this node to skip
+	// it without a failure of its own. A single node may have lost its own path to the server.
+	suspectQuorum = 2
+	// maxSuspectedShare is the share of its servers above which the suspicions of a node are
+	// discarded: the node itself is then likely to be partitioned.
+	maxSuspectedShare = 1.0 / 3
 )
 
-// Work returns what this node has under way, without servers that it has nothing
-// to say about.
+// Work returns this node's work on all servers, without servers that have nothing to report. It
+// omits suspicions if this node suspects more than maxSuspectedShare of its servers.
 func (set *Set) Work(now time.Time) []Work {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	var all []Work
-	resting := 0
-	for s := range set.dealt {
+	suspected := 0
+	for s := range set.withLocalState {
 		w := Work{Server: s.key, Running: s.running(), QueuedTokens: s.queuedTokens}
 		switch {
-		case s.saidLeaving:
-			w.Suspects = leavingSuspects
+		case s.drainingAnnounced:
+			w.Suspects = drainingSuspects
 		case !s.breaker.Allows(now):
 			w.Suspects = 1
-			resting++
+			suspected++
 		}
 		if w.Running != 0 || w.QueuedTokens != 0 || w.Suspects != 0 {
 			all = append(all, w)
 		}
 	}
-	if float64(resting) > trustedShare*float64(len(set.servers)) {
+	if float64(suspected) > maxSuspectedShare*float64(len(set.servers)) {
 		for i := range all {
-			if !all[i].Leaving() {
+			if !all[i].Draining() {
 				all[i].Suspects = 0
 			}
 		}
@@ -71,13 +71,14 @@
 	return all
 }
 
-// Use is what is under way at one server, by this node's knowledge of all nodes.
+// Use is the load on one server, over all nodes as far as known to this node.
 type Use struct {
 	Running      int
 	QueuedTokens int
 }
 
-// Less reports whether this is less work than other: fewer runs, or a shorter queue.
+// Less reports whether u is less load than other: fewer running attempts, or with equal numbers
+// fewer queued tokens.
 func (u Use) Less(other Use) bool {
 	if u.Running != other.Running {
 		return u.Running < other.Running
@@ -85,47 +86,47 @@
 	return u.QueuedTokens < other.QueuedTokens
 }
 
-// Uses returns what is under way at the servers, by incarnation.
+// Uses returns the load on all servers, by incarnation name.
 func (set *Set) Uses(now time.Time) map[string]Use {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	uses := make(map[string]Use, len(set.servers))
-	for instance, s := range set.servers {
-		others, own := set.othersAt(s, now), s.dealt()
-		uses[instance] = Use{Running: own.running() + others.Running, QueuedTokens: own.queuedTokens + others.QueuedTokens}
+	for name, s := range set.servers {
+		peers, local := set.peerWorkAt(s, now), s.local()
+		uses[name] = Use{Running: local.running() + peers.Running, QueuedTokens: local.queuedTokens + peers.QueuedTokens}
 	}
 	return uses
 }
 
-// TakeWork takes what all other nodes have under way, and returns the servers of which it is
-// news that they leave.
-func (set *Set) TakeWork(others []Work, now time.Time) (leave []string) {
+// ApplyPeerWork replaces the work reported by all other nodes. It returns the servers that are
+// newly known to be draining.
+func (set *Set) ApplyPeerWork(work []Work, now time.Time) (draining []string) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	for _, s := range set.told {
-		s.others = Work{}
+	for _, s := range set.withPeerWork {
+		s.peerWork = Work{}
 	}
-	set.told = set.told[:0]
-	for _, w := range others {
+	set.withPeerWork = set.withPeerWork[:0]
+	for _, w := range work {
 		s := set.byKey[w.Server]
-		if w.Leaving() && set.leave(w.Server) && s != nil {
-			leave = append(leave, s.name)
+		if w.Draining() && set.markDraining(w.Server) && s != nil {
+			draining = append(draining, s.name)
 		}
 		if s != nil {
-			s.others = w
-			set.use(s, now)
-			set.told = append(set.told, s)
+			s.peerWork = w
+			set.markUsed(s, now)
+			set.withPeerWork = append(set.withPeerWork, s)
 		}
 	}
-	set.othersUntil = now.Add(workLife)
-	return leave
+	set.peerWorkUntil = now.Add(peerWorkTTL)
+	return draining
 }
 
-// othersAt returns what other nodes have under way at the server, as far as that
-// is known now.
-func (set *Set) othersAt(s *state, now time.Time) Work {
-	if now.After(set.othersUntil) {
+// peerWorkAt returns the work of other nodes on a server, or zero if the last report has
+// expired.
+func (set *Set) peerWorkAt(s *entry, now time.Time) Work {
+	if now.After(set.peerWorkUntil) {
 		return Work{}
 	}
-	return s.others
+	return s.peerWork
 }
--- a/internal/backend/work_test.go
+++ b/internal/backend/work_test.go
@@ -11,8 +11,8 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// alike returns a set of n servers of one plain service.
-func alike(n int, now time.Time) *Set {
+// newUniformSet returns a set of n servers of one service without models.
+func newUniformSet(n int, now time.Time) *Set {
 	set := NewSet()
 	list := []Server{}
 	for i := range n {
@@ -31,34 +31,34 @@
 	return routing.Candidate{}
 }
 
-func TestTheWorkOfOtherNodesCountsWhileItIsRenewed(t *testing.T) {
+func TestPeerWorkExpiresUnlessRenewed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := alike(2, now)
+	set := newUniformSet(2, now)
 	send(set, "i-0", 100, now)
 	require.Equal(t, []Work{{Server: ServerKey("i-0"), Running: 1, QueuedTokens: 100}}, set.Work(now))
-	set.TakeWork([]Work{{Server: ServerKey("i-0"), Running: 4, QueuedTokens: 900}, {Server: 7, Running: 1}}, now)
+	set.ApplyPeerWork([]Work{{Server: ServerKey("i-0"), Running: 4, QueuedTokens: 900}, {Server: 7, Running: 1}}, now)
 	seen := candidate(set, "i-0", now)
 	require.Equal(t, []int{1, 5, 1000}, []int{seen.InFlight, seen.Running, seen.QueuedTokens})
 	require.Zero(t, candidate(set, "i-1", now).Running)
-	late := now.Add(workLife + 1)
+	late := now.Add(peerWorkTTL + 1)
 	require.Equal(t, 1, candidate(set, "i-0", late).Running, "nobody renewed it")
-	set.TakeWork(nil, now)
+	set.ApplyPeerWork(nil, now)
 	require.Equal(t, 1, candidate(set, "i-0", now).Running, "they have done it")
 }
 
-func TestAServerRestsWhenTwoOthersSaySo(t *testing.T) {
+func TestSuspectQuorumExcludesServer(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := alike(2, now)
-	set.TakeWork([]Work{{Server: ServerKey("i-0"), Suspects: 1}}, now)
-	require.False(t, candidate(set, "i-0", now).Resting, "one may have lost its own way there")
-	set.TakeWork([]Work{{Server: ServerKey("i-0"), Suspects: 2}}, now)
-	require.True(t, candidate(set, "i-0", now).Resting)
-	require.False(t, candidate(set, "i-1", now).Resting)
+	set := newUniformSet(2, now)
+	set.ApplyPeerWork([]Work{{Server: ServerKey("i-0"), Suspects: 1}}, now)
+	require.False(t, candidate(set, "i-0", now).BreakerOpen, "one may have lost its own way there")
+	set.ApplyPeerWork([]Work{{Server: ServerKey("i-0"), Suspects: 2}}, now)
+	require.True(t, candidate(set, "i-0", now).BreakerOpen)
+	require.False(t, candidate(set, "i-1", now).BreakerOpen)
 }
 
-func TestANodeThatReachesHardlyAnybodySuspectsNobody(t *testing.T) {
+func TestIsolatedNodeReportsNoSuspects(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := alike(9, now)
+	set := newUniformSet(9, now)
 	suspects := func() int {
 		sum := 0
 		for _, w := range set.Work(now) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestFindRoutePrefersLongestPrefix(t *testing.T) {
 	snapshot := New(Declaration{Routes: []Route{
 		{Name: "all", Host: "a.example", PathPrefix: "/"},
 		{Name: "deep", Host: "a.example", PathPrefix: "/x/y/"},
@@ -24,83 +24,83 @@
 	require.Nil(t, snapshot.FindRoute("b.example", "/x/"))
 }
 
-func TestKeysBelongToTheirTenant(t *testing.T) {
+func TestTenantOfMatchesKey(t *testing.T) {
 	snapshot := New(Declaration{Tenants: []TenantKeys{
 		{Tenant: Tenant{Name: "one"}, Keys: []string{"k1", "k2"}},
 		{Tenant: Tenant{Name: "two", Isolated: true}, Keys: []string{"k3"}},
 	}})
-	require.True(t, snapshot.Keyed())
+	require.True(t, snapshot.RequiresKeys())
 	require.Equal(t, "one", snapshot.TenantOf("k2").Name)
 	require.True(t, snapshot.TenantOf("k3").Isolated)
 	require.Nil(t, snapshot.TenantOf("k4"))
 	require.Nil(t, snapshot.TenantOf(""))
 }
 
-func TestABeliefNeverGoesBack(t *testing.T) {
+func TestAdvanceIsMonotonic(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		begin := time.Unix(1000, 0)
-		var belief *Belief
+		start := time.Unix(1000, 0)
+		var replica *Replica
 		highest, newest, latest := int64(0), int64(0), time.Time{}
 		for range rapid.IntRange(1, 30).Draw(t, "readings") {
-			sent := begin.Add(time.Duration(rapid.IntRange(0, 10_000).Draw(t, "sent")) * time.Millisecond)
-			reading := Reading{SentAt: sent, Weights: map[string]int64{"m": rapid.Int64Range(1, 9).Draw(t, "weights")}}
+			sent := start.Add(time.Duration(rapid.IntRange(0, 10_000).Draw(t, "sent")) * time.Millisecond)
+			result := ReadResult{SentAt: sent, Weights: map[string]int64{"m": rapid.Int64Range(1, 9).Draw(t, "weights")}}
 			if rapid.Bool().Draw(t, "changed") {
-				reading.Declaration = &Declaration{Version: rapid.Int64Range(1, 20).Draw(t, "version")}
-				highest = max(highest, reading.Declaration.Version)
+				result.Declaration = &Declaration{Version: rapid.Int64Range(1, 20).Draw(t, "version")}
+				highest = max(highest, result.Declaration.Version)
 			}
-			newest = max(newest, reading.Weights["m"])
+			newest = max(newest, result.Weights["m"])
 			if sent.After(latest) {
 				latest = sent
 			}
-			belief = Advance(belief, reading)
+			replica = Advance(replica, result)
 			if highest > 0 {
-				require.Equal(t, highest, belief.Snapshot.Version)
+				require.Equal(t, highest, replica.Snapshot.Version)
 			}
-			require.Equal(t, newest, belief.Weights["m"].Newest())
-			require.Equal(t, latest, belief.AsOf)
+			require.Equal(t, newest, replica.Weights["m"].Newest())
+			require.Equal(t, latest, replica.AsOf)
 		}
 	})
 }
 
-func TestANamingIsDatedByTheReadingBeforeIt(t *testing.T) {
+func TestReleaseIsDatedByPrecedingRead(t *testing.T) {
 	first := time.Unix(1000, 0)
 	second := func(number int) time.Time { return first.Add(time.Duration(number) * time.Second) }
-	belief := Advance(nil, Reading{SentAt: second(0), Weights: map[string]int64{"m": 1}})
-	belief = Advance(belief, Reading{SentAt: second(1), Weights: map[string]int64{"m": 1}})
-	belief = Advance(belief, Reading{SentAt: second(2), Weights: map[string]int64{"m": 2}})
-	belief = Advance(belief, Reading{SentAt: second(5), Weights: map[string]int64{"m": 4}})
-	namings := belief.Weights["m"]
-	require.Equal(t, Namings{{Version: 1}, {Version: 2, NotNamedAt: second(1)}, {Version: 4, NotNamedAt: second(2)}}, namings)
-	lacks, found := namings.After(1)
+	replica := Advance(nil, ReadResult{SentAt: second(0), Weights: map[string]int64{"m": 1}})
+	replica = Advance(replica, ReadResult{SentAt: second(1), Weights: map[string]int64{"m": 1}})
+	replica = Advance(replica, ReadResult{SentAt: second(2), Weights: map[string]int64{"m": 2}})
+	replica = Advance(replica, ReadResult{SentAt: second(5), Weights: map[string]int64{"m": 4}})
+	releases := replica.Weights["m"]
+	require.Equal(t, Releases{{Version: 1}, {Version: 2, UnreleasedAt: second(1)}, {Version: 4, UnreleasedAt: second(2)}}, releases)
+	missing, found := releases.After(1)
 	require.True(t, found)
-	require.Equal(t, int64(2), lacks.Version, "a server is late from the first version that it lacks")
-	_, found = namings.After(4)
+	require.Equal(t, int64(2), missing.Version, "a server is late from the first version that it lacks")
+	_, found = releases.After(4)
 	require.False(t, found)
 }
 
-func TestAServerMayNotServeWhatWasReplacedTooLongAgo(t *testing.T) {
+func TestRequiredIsNewestReleaseBeforeCutoff(t *testing.T) {
 	first := time.Unix(1000, 0)
 	second := func(number int) time.Time { return first.Add(time.Duration(number) * time.Second) }
-	namings := Namings{{Version: 1}, {Version: 2, NotNamedAt: second(10)}, {Version: 3, NotNamedAt: second(14)}}
-	require.Equal(t, int64(0), namings.Required(second(0), second(0)))
-	require.Equal(t, int64(1), namings.Required(second(9), second(0)))
-	require.Equal(t, int64(2), namings.Required(second(12), second(0)), "a newer naming does not excuse the one before")
-	require.Equal(t, int64(3), namings.Required(second(15), second(0)))
+	releases := Releases{{Version: 1}, {Version: 2, UnreleasedAt: second(10)}, {Version: 3, UnreleasedAt: second(14)}}
+	require.Equal(t, int64(0), releases.Required(second(0), second(0)))
+	require.Equal(t, int64(1), releases.Required(second(9), second(0)))
+	require.Equal(t, int64(2), releases.Required(second(12), second(0)), "a newer naming does not excuse the one before")
+	require.Equal(t, int64(3), releases.Required(second(15), second(0)))
 }
 
-func TestAReadingOfNothingDatesNothing(t *testing.T) {
-	belief := Advance(nil, Reading{})
-	belief = Advance(belief, Reading{SentAt: time.Unix(1000, 0), Weights: map[string]int64{"m": 3}})
-	require.Zero(t, belief.Weights["m"][0].NotNamedAt, "it may have been named long before")
-	require.True(t, belief.Fresh(time.Unix(1001, 0), time.Second))
+func TestReleaseAfterEmptyReadHasUnknownDate(t *testing.T) {
+	replica := Advance(nil, ReadResult{})
+	replica = Advance(replica, ReadResult{SentAt: time.Unix(1000, 0), Weights: map[string]int64{"m": 3}})
+	require.Zero(t, replica.Weights["m"][0].UnreleasedAt, "it may have been named long before")
+	require.True(t, replica.Fresh(time.Unix(1001, 0), time.Second))
 }
 
-func TestAnOutageBeforeTheFirstReadingIsRemembered(t *testing.T) {
+func TestDisruptionBeforeFirstReadIsKept(t *testing.T) {
 	failedAt := time.Unix(1000, 0)
-	belief := Disturb(nil, failedAt)
-	require.NotNil(t, belief)
-	belief = Advance(belief, Reading{SentAt: failedAt.Add(time.Second), Declaration: &Declaration{Version: 1}, Weights: map[string]int64{"m": 2}})
-	require.Equal(t, failedAt, belief.Disturbed)
-	require.True(t, belief.Weights["m"][0].NotNamedAt.IsZero(), "nobody knows when it was named")
-	require.Equal(t, failedAt.Add(time.Second), belief.AsOf)
+	replica := MarkDisrupted(nil, failedAt)
+	require.NotNil(t, replica)
+	replica = Advance(replica, ReadResult{SentAt: failedAt.Add(time.Second), Declaration: &Declaration{Version: 1}, Weights: map[string]int64{"m": 2}})
+	require.Equal(t, failedAt, replica.DisruptedAt)
+	require.True(t, replica.Weights["m"][0].UnreleasedAt.IsZero(), "nobody knows when it was named")
+	require.Equal(t, failedAt.Add(time.Second), replica.AsOf)
 }
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// post sends one message to a node's operator interface.
+// post sends one message to a node's operator API.
 func post[Answer any](ctx context.Context, command *cli.Command, path string, message any) (Answer, error) {
 	return send[Answer](ctx, command, sling.New().Post("http://"+command.String("node")+"/operator/"+path).BodyJSON(message))
 }
@@ -60,7 +60,7 @@
 	return answer, nil
 }
 
-// print writes a value as JSON, or as the table made from it.
+// print writes a value as JSON, or as the table that table returns.
 func print(command *cli.Command, value any, table func() *operator.Table) error {
 	if command.String("output") == "json" {
 		encoder := json.NewEncoder(writer(command))
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -23,7 +23,7 @@
 	return output.String(), err
 }
 
-func TestExamplesPassTheirCheck(t *testing.T) {
+func TestExampleDeclarationsAreValid(t *testing.T) {
 	for _, name := range []string{"kuusisto.yaml", "dakar.yaml"} {
 		output, err := run(t, "check", "--output", "json", filepath.Join("..", "..", "examples", name))
 		require.NoError(t, err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestThreeFaultsAreAllReported(t *testing.T) {
+func TestCheckReportsAllFaults(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "kuusisto.yaml"))
 	require.NoError(t, err)
 	for from, to := range map[string]string{"window: 10m": "window: tenminutes", "    priority: 2": "    prioritty: 2", "weight: 4\n    limits": "weight: 0\n    limits"} {
@@ -47,7 +47,7 @@
 	require.Equal(t, exitInvalid, exitCode(err))
 }
 
-func TestFlagsOverrideEnvironmentOverridesFile(t *testing.T) {
+func TestFlagsOverrideEnvironmentAndFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("zone: from-file\ndrainDeadline: 7m\nlogLevel: warn\nfleetKey: 00112233445566778899aabbccddeeff\n"), 0o600))
 	t.Setenv("CLOVERRAIL_ZONE", "from-environment")
@@ -60,7 +60,7 @@
 	require.NotContains(t, output, "00112233", "secrets are not printed")
 }
 
-func TestFaultySettingsNameTheRemedy(t *testing.T) {
+func TestInvalidSettingsNameLineAndKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("zone: a\nsonne: b\ndrainDeadline: soon\n"), 0o600))
 	_, err := run(t, "node", "--settings", path, "--print-settings")
@@ -70,7 +70,7 @@
 	require.ErrorContains(t, err, "fleetKey")
 }
 
-func TestBadStatementsAreRefusedWithoutANode(t *testing.T) {
+func TestInvalidStatementFailsWithoutNode(t *testing.T) {
 	_, err := run(t, "query", "--node", "127.0.0.1:1", "show motors")
 	require.ErrorContains(t, err, "column 6")
 	require.Equal(t, exitInvalid, exitCode(err))
--- a/internal/command/declaration.go
+++ b/internal/command/declaration.go
@@ -21,8 +21,8 @@
 	return command.Args().First(), nil
 }
 
-// checked reads a declaration.
-func checked(command *cli.Command) (path string, declared *configuration.Declaration, err error) {
+// parseFileArgument reads and validates the declaration file named on the command line.
+func parseFileArgument(command *cli.Command) (path string, declared *configuration.Declaration, err error) {
 	if path, err = fileArgument(command); err != nil {
 		return "", nil, err
 	}
@@ -34,7 +34,7 @@
 	return path, declared, err
 }
 
-// checkResult is what check prints.
+// checkResult is the output of the check command.
 type checkResult struct {
 	File    string `json:"file"`
 	Fleet   string `json:"fleet"`
@@ -51,7 +51,7 @@
 		Description: "Reports every fault with its line and remedy.\n\nExample:\n  cloverrail check examples/kuusisto.yaml",
 		Flags:       []cli.Flag{outputFlag()},
 		Action: func(_ context.Context, command *cli.Command) error {
-			path, declared, err := checked(command)
+			path, declared, err := parseFileArgument(command)
 			if err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 		Description: "Example:\n  cloverrail plan --node 127.0.0.1:8082 examples/kuusisto.yaml",
 		Flags:       clientFlags(),
 		Action: func(ctx context.Context, command *cli.Command) error {
-			path, declared, err := checked(command)
+			path, declared, err := parseFileArgument(command)
 			if err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 				answer, err := post[operator.ChangeAnswer](ctx, command, "settle", operator.SettleRequest{ChangeID: change})
 				return printChange(command, answer, err)
 			}
-			path, declared, err := checked(command)
+			path, declared, err := parseFileArgument(command)
 			if err != nil {
 				return err
 			}
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -19,73 +19,76 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// longestLine bounds a line of a log in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds a log line.
+const maxLineBytes = 1 << 20
 
-// logLine is what explain reads of a proxy's log line.
+// logLine holds the fields of a proxy's log line that explain uses.
 type logLine struct {
-	ID          string    `json:"id"`
-	Time        time.Time `json:"time"`
-	Node        string    `json:"node"`
-	Message     string    `json:"message"`
-	Server      string    `json:"server"`
-	Event       string    `json:"event"`
-	Reason      string    `json:"reason"`
-	Route       string    `json:"route"`
-	Declaration int64     `json:"declaration"`
-	Result      string    `json:"result"`
-	Outcome     string    `json:"outcome"`
-	Problem     string    `json:"problem"`
-	Status      int       `json:"status"`
-	Sends       int       `json:"sends"`
-	Runs        int       `json:"runs"`
-	First       float64   `json:"first"`
-	Took        float64   `json:"took"`
-	InFlight    int       `json:"in_flight"`
-	Failures    float64   `json:"failures"`
-	Distance    int       `json:"distance"`
-	Version     int64     `json:"version"`
-	Prompt      int       `json:"prompt"`
-	Held        int       `json:"held"`
-	InStore     int       `json:"in_store"`
-	Queued      int       `json:"queued"`
-	Suppressed  int       `json:"suppressed_before"`
-	// Costs and NextCosts hold the terms of the cost of the chosen server and of Next,
-	// the cheapest other one, in milliseconds of engine time.
+	ID           string    `json:"id"`
+	Time         time.Time `json:"time"`
+	Node         string    `json:"node"`
+	Message      string    `json:"message"`
+	Server       string    `json:"server"`
+	Event        string    `json:"event"`
+	Reason       string    `json:"reason"`
+	Route        string    `json:"route"`
+	Declaration  int64     `json:"declaration"`
+	Result       string    `json:"result"`
+	Outcome      string    `json:"outcome"`
+	Problem      string    `json:"problem"`
+	Status       int       `json:"status"`
+	Sends        int       `json:"sends"`
+	Runs         int       `json:"runs"`
+	First        float64   `json:"first"`
+	Took         float64   `json:"took"`
+	InFlight     int       `json:"in_flight"`
+	Failures     float64   `json:"failures"`
+	Distance     int       `json:"distance"`
+	Version      int64     `json:"version"`
+	Prompt       int       `json:"prompt"`
+	CachedTokens int       `json:"held"`
+	InStore      int       `json:"in_store"`
+	Queued       int       `json:"queued"`
+	Suppressed   int       `json:"suppressed_before"`
+	// Costs and NextCosts hold the cost terms of the chosen server and of Next, the second
+	// cheapest, in milliseconds of engine time.
 	Costs     map[string]int64 `json:"costs"`
 	Next      string           `json:"next"`
 	NextCosts map[string]int64 `json:"next_costs"`
-	// Deferred says that the request was placed to let others go first.
+	// Deferred says that the request will be late and yields to others.
 	Deferred bool `json:"deferred"`
-	// Fingerprint is the same for all tries of a request under which a server may have ended.
+	// Fingerprint is the same for all retries of a request. It is set if a server may have crashed
+	// while running the request.
 	Fingerprint string `json:"fingerprint"`
-	// Settled says whether the server had ended.
+	// Settled says whether the server had crashed.
 	Settled string `json:"settled"`
-	// The figures of a refusal for the servers that ended under a request.
-	Ended  int     `json:"ended"`
-	Weight float64 `json:"weight"`
-	Stored bool    `json:"stored"`
-	// The figures of a refusal for a tenant's limit.
-	Tenant string  `json:"tenant"`
-	Limit  float64 `json:"limit"`
-	Asked  float64 `json:"asked"`
-	// The figures of a refusal for the limits of servers, and of servers passed over for them.
-	Service    string  `json:"service"`
-	Servers    int     `json:"servers"`
-	Shortest   float64 `json:"shortest"`
-	PassedOver int     `json:"passed_over"`
-	// Looks is how often the servers were looked at, and LastResort says that all had failed.
-	Looks      int     `json:"looks"`
+	// Crashes to Stored describe the rejection of a quarantined request; Crashes is the number of
+	// crashes.
+	Crashes int     `json:"ended"`
+	Weight  float64 `json:"weight"`
+	Stored  bool    `json:"stored"`
+	// Tenant to Requested, and Level to Age, describe a rejection because of a tenant's limit.
+	Tenant    string  `json:"tenant"`
+	Limit     float64 `json:"limit"`
+	Requested float64 `json:"asked"`
+	// Service to OverLimit describe a rejection because of servers' rate limits, and the servers
+	// skipped because of them.
+	Service   string  `json:"service"`
+	Servers   int     `json:"servers"`
+	Shortest  float64 `json:"shortest"`
+	OverLimit int     `json:"passed_over"`
+	// Rounds is the number of placement rounds; LastResort says that all remaining servers had failed.
+	Rounds     int     `json:"looks"`
 	LastResort bool    `json:"last_resort"`
 	Level      float64 `json:"level"`
-	Share      float64 `json:"share"`
+	AdmitRatio float64 `json:"share"`
 	Nodes      int     `json:"nodes"`
 	Age        float64 `json:"age"`
 	RetryAfter float64 `json:"retry_after"`
 }
 
-// eventMeanings says what became of an attempt.
-var eventMeanings = map[string]string{
+// eventTexts maps the events of attempts to their explanations.
+var eventTexts = map[string]string{
 	"refused":    "the server refused it: it did not run there",
 	"unreached":  "no connection to the server came up: nothing was sent",
 	"broken":     "the attempt broke after it was sent: it may have run",
@@ -118,9 +121,9 @@
 	}
 }
 
-// explain writes what the log says of a request.
+// explain writes an explanation of each log line of a request.
 func explain(log io.Reader, target io.Writer, id string) error {
-	lines, suppressed, err := linesOf(log, id)
+	lines, suppressed, err := readLines(log, id)
 	if err != nil {
 		return err
 	}
@@ -132,21 +135,21 @@
 		return failure.New(failure.KindNotFound, "no line names the request", remedy)
 	}
 	for _, line := range lines {
-		if _, err := fmt.Fprintf(target, "%s %s: %s\n", line.Time.Format("15:04:05.000"), line.Node, line.meaning()); err != nil {
+		if _, err := fmt.Fprintf(target, "%s %s: %s\n", line.Time.Format("15:04:05.000"), line.Node, line.text()); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	return nil
 }
 
-// linesOf returns the lines of a request in the order of their time, and how many
-// lines the log says were left out. The request is named by its id or its fingerprint.
-func linesOf(log io.Reader, id string) (lines []logLine, suppressed int, err error) {
+// readLines returns the lines of a request, named by its id or fingerprint, in order of time, and
+// the number of suppressed lines that the log reports.
+func readLines(log io.Reader, id string) (lines []logLine, suppressed int, err error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
-		// Collectors put their own words before a line.
+		// Log collectors may prefix lines.
 		start := strings.IndexByte(text, '{')
 		var line logLine
 		if start < 0 || json.Unmarshal([]byte(text[start:]), &line) != nil {
@@ -161,12 +164,12 @@
 	return lines, suppressed, errors.Annotate(scanner.Err(), "the log cannot be read; give it as the nodes wrote it")
 }
 
-func (line logLine) meaning() string {
+func (line logLine) text() string {
 	switch line.Message {
 	case "placed":
-		return line.placed()
+		return line.placementText()
 	case "attempt":
-		meaning := eventMeanings[line.Event]
+		meaning := eventTexts[line.Event]
 		if meaning == "" {
 			meaning = line.Event
 		}
@@ -178,37 +181,37 @@
 		}
 		return fmt.Sprintf("at server %s %s", line.Server, meaning)
 	case "limited":
-		return line.limited()
+		return line.tenantLimitText()
 	case "over the limits of servers":
-		return line.overLimits()
+		return line.serverLimitsText()
 	case "held off":
-		return line.heldOff()
+		return line.quarantineText()
 	case "cleared":
 		return fmt.Sprintf("a whole answer, which clears request %s", line.Fingerprint)
 	case "suspicion":
-		return line.suspicion()
+		return line.suspicionText()
 	case "request":
-		return line.ended()
+		return line.outcomeText()
 	default:
 		return line.Message
 	}
 }
 
-func (line logLine) placed() string {
+func (line logLine) placementText() string {
 	text := fmt.Sprintf("server %s was chosen: distance %d, %d requests of this node there, failure share %.2f",
 		line.Server, line.Distance, line.InFlight, line.Failures)
 	if line.Prompt > 0 {
 		text += fmt.Sprintf("; weights %d, prompt of %d tokens, %d held there, %d in the store, %d waiting before it",
-			line.Version, line.Prompt, line.Held, line.InStore, line.Queued)
+			line.Version, line.Prompt, line.CachedTokens, line.InStore, line.Queued)
 	}
 	if line.Deferred {
 		text += "; it will be late there, so that others go first"
 	}
-	if line.PassedOver > 0 {
-		text += fmt.Sprintf("; %d servers were passed over for the limits that they name", line.PassedOver)
+	if line.OverLimit > 0 {
+		text += fmt.Sprintf("; %d servers were passed over for the limits that they name", line.OverLimit)
 	}
-	if line.Looks > 1 {
-		text += fmt.Sprintf("; chosen at look %d, as others were placed first where it was to be", line.Looks)
+	if line.Rounds > 1 {
+		text += fmt.Sprintf("; chosen at look %d, as others were placed first where it was to be", line.Rounds)
 	}
 	if line.LastResort {
 		text += "; all servers that were left had failed, so that it probes this one"
@@ -222,32 +225,32 @@
 	return text
 }
 
-func (line logLine) limited() string {
+func (line logLine) tenantLimitText() string {
 	return fmt.Sprintf("beyond the limit of tenant %s: %.0f a second are asked where %.0f are allowed, %.0f may be admitted at once, so %.0f %% of the requests are; known of %d nodes %.0f ms ago; to come back after %.0f ms",
-		line.Tenant, line.Asked, line.Limit, line.Level, 100*line.Share, line.Nodes, line.Age, line.RetryAfter)
+		line.Tenant, line.Requested, line.Limit, line.Level, 100*line.AdmitRatio, line.Nodes, line.Age, line.RetryAfter)
 }
 
-func (line logLine) overLimits() string {
+func (line logLine) serverLimitsText() string {
 	return fmt.Sprintf("the %d servers of %s that are left take no more of this node by the limits that they name, the first of them in %.0f ms; to come back after %.0f ms",
 		line.Servers, line.Service, line.Shortest, line.RetryAfter)
 }
 
-func (line logLine) heldOff() string {
-	known := fmt.Sprintf("%d servers have ended under it, which counts %.1f", line.Ended, line.Weight)
+func (line logLine) quarantineText() string {
+	known := fmt.Sprintf("%d servers have ended under it, which counts %.1f", line.Crashes, line.Weight)
 	if line.Stored {
 		known = "the store says that servers have ended under it"
 	}
 	return fmt.Sprintf("held off: %s; to come back after %.0f ms; see all of its tries by its fingerprint, %s", known, line.RetryAfter, line.Fingerprint)
 }
 
-func (line logLine) suspicion() string {
+func (line logLine) suspicionText() string {
 	if line.Settled == "ended" {
 		return fmt.Sprintf("server %s closed a connection before its whole answer and has answered nothing since: it counts against request %s", line.Server, line.Fingerprint)
 	}
 	return fmt.Sprintf("server %s closed a connection before its whole answer and goes on to answer: that counts for nothing", line.Server)
 }
 
-// costText shows a cost with its terms, the greatest first.
+// costText formats a cost and its terms, the largest first.
 func costText(costs map[string]int64) string {
 	sum := int64(0)
 	names := slices.Sorted(maps.Keys(costs))
@@ -260,7 +263,7 @@
 	return fmt.Sprintf("%d ms (%s)", sum, strings.Join(terms, ", "))
 }
 
-func (line logLine) ended() string {
+func (line logLine) outcomeText() string {
 	text := fmt.Sprintf("route %q, declaration %d: ", line.Route, line.Declaration)
 	if line.Problem == "" {
 		text += fmt.Sprintf("answered with the server's %d, first after %.0f ms", line.Status, line.First)
--- a/internal/command/explain_test.go
+++ b/internal/command/explain_test.go
@@ -14,7 +14,7 @@
 {"node":"b","id":"r1","server":"i-7","event":"refused","reason":"503","suppressed_before":5,"time":"2026-01-03T17:45:52.272654768Z","message":"attempt"}
 `
 
-func TestExplainPutsOneRequestInOrder(t *testing.T) {
+func TestExplainOrdersLinesOfRequest(t *testing.T) {
 	text := strings.Builder{}
 	require.NoError(t, explain(strings.NewReader(explainLog), &text, "r1"))
 	require.Equal(t, `17:45:52.270 b: server i-7 was chosen: distance 0, 2 requests of this node there, failure share 0.25; weights 1, prompt of 1013 tokens, 0 held there, 131 in the store, 7 waiting before it
@@ -23,14 +23,14 @@
 `, text.String())
 }
 
-func TestExplainShowsTheTermsOfBothCosts(t *testing.T) {
+func TestExplainShowsBothCosts(t *testing.T) {
 	log := `{"node":"b","id":"r1","server":"i-7","costs":{"wait":40,"work":160},"next":"i-8","next_costs":{"replaced":480,"work":20,"wait":20},"message":"placed"}`
 	text := strings.Builder{}
 	require.NoError(t, explain(strings.NewReader(log), &text, "r1"))
 	require.Contains(t, text.String(), "its cost was 200 ms (work 160, wait 40), that of the next best, i-8, 520 ms (replaced 480, wait 20, work 20)")
 }
 
-func TestExplainSaysWhyALimitedRequestWasRefused(t *testing.T) {
+func TestExplainShowsTenantLimit(t *testing.T) {
 	log := `{"node":"b","id":"r1","tenant":"t7","limit":20,"asked":50,"level":-3,"share":0.36,"nodes":79,"age":140.2,"retry_after":900,"message":"limited"}
 {"node":"b","id":"r2","server":"i-7","prompt":10,"deferred":true,"message":"placed"}`
 	text := strings.Builder{}
@@ -41,8 +41,9 @@
 	require.Contains(t, text.String(), "it will be late there, so that others go first")
 }
 
-// From the id of a request that was refused to the servers that ended under its other tries.
-func TestExplainFindsTheTriesOfARequestThatIsHeldOff(t *testing.T) {
+// The id of a rejected request leads to its fingerprint, and from there to the servers that crashed
+// while running its other attempts.
+func TestExplainFindsRetriesByFingerprint(t *testing.T) {
 	log := `{"node":"a","id":"r1","server":"i-7","event":"broken","reason":"EOF","fingerprint":"002a","message":"attempt","time":"2000-01-01T00:00:01Z"}
 {"node":"a","fingerprint":"002a","server":"i-7","settled":"ended","message":"suspicion","time":"2000-01-01T00:00:02Z"}
 {"node":"b","fingerprint":"002a","server":"i-8","settled":"lives","message":"suspicion","time":"2000-01-01T00:00:03Z"}
@@ -63,14 +64,14 @@
 	require.Contains(t, lines[5], "clears request 002a")
 }
 
-func TestExplainSaysWhyThereIsNothing(t *testing.T) {
+func TestExplainWithoutMatchingLines(t *testing.T) {
 	err := explain(strings.NewReader(explainLog), &strings.Builder{}, "r9")
 	require.ErrorContains(t, err, "5 that the nodes left out")
 	err = explain(strings.NewReader(""), &strings.Builder{}, "r9")
 	require.ErrorContains(t, err, "all nodes")
 }
 
-func TestExplainSaysWhyAPlacementWasMadeAgain(t *testing.T) {
+func TestExplainShowsPlacementRounds(t *testing.T) {
 	log := `{"node":"b","id":"r1","server":"i-7","looks":3,"last_resort":true,"message":"placed"}`
 	text := strings.Builder{}
 	require.NoError(t, explain(strings.NewReader(log), &text, "r1"))
@@ -78,7 +79,7 @@
 	require.Contains(t, text.String(), "all servers that were left had failed, so that it probes this one")
 }
 
-func TestExplainSaysThatServersAreLimited(t *testing.T) {
+func TestExplainShowsServerLimits(t *testing.T) {
 	log := `{"node":"b","id":"r1","service":"s","servers":3,"shortest":420.5,"retry_after":900,"message":"over the limits of servers"}
 {"node":"b","id":"r2","server":"i-7","passed_over":2,"message":"placed"}`
 	text := strings.Builder{}
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -21,13 +21,13 @@
 
 const (
 	environmentPrefix = "CLOVERRAIL_"
-	// collectorPercent makes the collector run at half the garbage that the
-	// runtime would allow: open streams make little garbage, and their memory is
-	// what a node runs out of first. GOGC in the environment overrides it.
-	collectorPercent = 50
+	// gcPercent makes the garbage collector run at half the heap growth of Go's default: open
+	// streams produce little garbage, and their memory is what a node runs out of first. The
+	// environment variable GOGC overrides it.
+	gcPercent = 50
 )
 
-// Node returns the command that runs a server.
+// Node returns the command that runs a node.
 func Node() *cli.Command {
 	return &cli.Command{
 		Name:  "node",
@@ -68,73 +68,73 @@
 	}
 }
 
-// effective reads the file and lays the environment and flags over it.
-func effective(command *cli.Command) (settings.Settings, error) {
-	given := settings.Defaults()
+// effectiveSettings returns the settings of the file, overridden by the environment and flags.
+func effectiveSettings(command *cli.Command) (settings.Settings, error) {
+	config := settings.Defaults()
 	if path := command.String("settings"); path != "" {
 		var err error
-		if given, err = settings.Read(path); err != nil {
-			return given, err
+		if config, err = settings.Read(path); err != nil {
+			return config, err
 		}
 	}
 	for name, target := range map[string]*string{
-		"zone": &given.Zone, "caller-address": &given.CallerAddress, "peer-address": &given.PeerAddress,
-		"operator-address": &given.OperatorAddress, "key-value-address": &given.KeyValueAddress,
-		"machine-list-address": &given.MachineListAddress, "fleet-key": &given.FleetKey,
-		"bootstrap-digest": &given.BootstrapDigest, "log-level": &given.LogLevel,
+		"zone": &config.Zone, "caller-address": &config.CallerAddress, "peer-address": &config.PeerAddress,
+		"operator-address": &config.OperatorAddress, "key-value-address": &config.KeyValueAddress,
+		"machine-list-address": &config.MachineListAddress, "fleet-key": &config.FleetKey,
+		"bootstrap-digest": &config.BootstrapDigest, "log-level": &config.LogLevel,
 	} {
 		if command.IsSet(name) {
 			*target = command.String(name)
 		}
 	}
 	if command.IsSet("seed") {
-		given.Seeds = command.StringSlice("seed")
+		config.Seeds = command.StringSlice("seed")
 	}
 	if command.IsSet("drain-deadline") {
-		given.DrainDeadline = command.Duration("drain-deadline")
+		config.DrainDeadline = command.Duration("drain-deadline")
 	}
 	if command.IsSet("drain-notice") {
-		given.DrainNotice = command.Duration("drain-notice")
+		config.DrainNotice = command.Duration("drain-notice")
 	}
 	if command.IsSet("revision-floor") {
-		given.RevisionFloor = command.Int64("revision-floor")
+		config.RevisionFloor = command.Int64("revision-floor")
 	}
 	if command.IsSet("replicate-up-to") {
-		given.ReplicateUpTo = command.Int("replicate-up-to")
+		config.ReplicateUpTo = command.Int("replicate-up-to")
 	}
 	if command.IsSet("maximum-body") {
-		given.MaximumBody = command.Int64("maximum-body")
+		config.MaximumBody = command.Int64("maximum-body")
 	}
-	return given, given.Check()
+	return config, config.Check()
 }
 
 func runNode(ctx context.Context, command *cli.Command) error {
-	given, err := effective(command)
+	config, err := effectiveSettings(command)
 	if err != nil {
 		return err
 	}
 	if command.Bool("print-settings") {
-		text, err := yaml.Marshal(given.Redacted())
+		text, err := yaml.Marshal(config.Redacted())
 		if err != nil {
 			return errors.Trace(err)
 		}
 		_, err = writer(command).Write(text)
 		return err
 	}
-	level, err := zerolog.ParseLevel(given.LogLevel)
+	level, err := zerolog.ParseLevel(config.LogLevel)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("node", given.PeerAddress).Logger()
-	created, err := node.New(given, log, node.Options{})
+	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("node", config.PeerAddress).Logger()
+	created, err := node.New(config, log, node.Options{})
 	if err != nil {
 		return err
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return created.Run(ctx, gateway.New(created), operator.NewServer(created, given.BootstrapDigest))
+	return created.Run(ctx, gateway.New(created), operator.NewServer(created, config.BootstrapDigest))
 }
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -7,13 +7,13 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// Defaults that apply where a declaration is silent.
+// Defaults of fields that a declaration may omit.
 const (
 	DefaultClaimWindow = 10 * time.Minute
 	DefaultClockSkew   = 500 * time.Millisecond
 )
 
-// Parse reads one declaration from YAML. The file name is for messages alone.
+// Parse reads one declaration from YAML. The file name is used in error messages only.
 func Parse(file string, data []byte) (*Declaration, error) {
 	declaration := &Declaration{Claims: Claims{Window: DefaultClaimWindow, ClockSkew: DefaultClockSkew}}
 	if err := strictyaml.Decode(file, data, declaration); err != nil {
@@ -22,7 +22,7 @@
 	return declaration, nil
 }
 
-// Check reports references that lead nowhere and names that stand twice.
+// Check reports undeclared references, duplicate names and keys, and too few claim holders.
 func (declaration *Declaration) Check(report func(path, problem, remedy string)) {
 	zones := nameSet(declaration.Zones, func(zone Zone) string { return zone.Name })
 	models := nameSet(declaration.Models, func(model Model) string { return model.Name })
@@ -30,15 +30,15 @@
 	classes := nameSet(declaration.Classes, func(class Class) string { return class.Name })
 	tenants := nameSet(declaration.Tenants, func(tenant Tenant) string { return tenant.Name })
 
-	reference := func(known map[string]bool, path, kind, name string) {
+	checkReference := func(known map[string]bool, path, kind, name string) {
 		if !known[name] {
 			report(path, fmt.Sprintf("no %s is named %q", kind, name), "declare it, or correct the name")
 		}
 	}
 	backends := map[string]string{}
-	backend := func(path string, server Backend) {
-		reference(zones, path+".zone", "zone", server.Zone)
-		if first, twice := backends[server.Name]; twice {
+	checkBackend := func(path string, server Backend) {
+		checkReference(zones, path+".zone", "zone", server.Zone)
+		if first, duplicate := backends[server.Name]; duplicate {
 			report(path+".name", fmt.Sprintf("%q is already used at %s", server.Name, first), "give every back end its own name")
 		}
 		backends[server.Name] = path
@@ -46,43 +46,43 @@
 	for index, pool := range declaration.Pools {
 		path := fmt.Sprintf("pools[%d]", index)
 		for position, model := range pool.Models {
-			reference(models, fmt.Sprintf("%s.models[%d]", path, position), "model", model)
+			checkReference(models, fmt.Sprintf("%s.models[%d]", path, position), "model", model)
 		}
-		if pool.KeptCache != nil {
-			backend(path+".keptCache", Backend{Name: pool.KeptCache.Name, Zone: pool.KeptCache.Zone})
+		if pool.PrefixStore != nil {
+			checkBackend(path+".keptCache", Backend{Name: pool.PrefixStore.Name, Zone: pool.PrefixStore.Zone})
 		}
 		for position, engine := range pool.Engines {
-			backend(fmt.Sprintf("%s.engines[%d]", path, position), engine)
+			checkBackend(fmt.Sprintf("%s.engines[%d]", path, position), engine)
 		}
 	}
 	for index, service := range declaration.Services {
 		path := fmt.Sprintf("services[%d]", index)
 		for position, server := range service.Servers {
-			backend(fmt.Sprintf("%s.servers[%d]", path, position), server)
+			checkBackend(fmt.Sprintf("%s.servers[%d]", path, position), server)
 		}
 		for position, tenant := range service.Tenants {
-			reference(tenants, fmt.Sprintf("%s.tenants[%d]", path, position), "tenant", tenant)
+			checkReference(tenants, fmt.Sprintf("%s.tenants[%d]", path, position), "tenant", tenant)
 		}
 	}
 	digests := map[string]string{}
-	digest := func(path, value string) {
-		if first, twice := digests[value]; twice {
+	checkDigest := func(path, value string) {
+		if first, duplicate := digests[value]; duplicate {
 			report(path, "the same key digest stands at "+first, "give every tenant and operator its own key")
 		}
 		digests[value] = path
 	}
 	for index, tenant := range declaration.Tenants {
 		path := fmt.Sprintf("tenants[%d]", index)
-		reference(classes, path+".class", "class", tenant.Class)
+		checkReference(classes, path+".class", "class", tenant.Class)
 		for position, pool := range tenant.Pools {
-			reference(pools, fmt.Sprintf("%s.pools[%d]", path, position), "pool", pool)
+			checkReference(pools, fmt.Sprintf("%s.pools[%d]", path, position), "pool", pool)
 		}
 		for position, value := range tenant.KeyDigests {
-			digest(fmt.Sprintf("%s.keyDigests[%d]", path, position), value)
+			checkDigest(fmt.Sprintf("%s.keyDigests[%d]", path, position), value)
 		}
 	}
 	for index, operator := range declaration.Operators {
-		digest(fmt.Sprintf("operators[%d].keyDigest", index), operator.KeyDigest)
+		checkDigest(fmt.Sprintf("operators[%d].keyDigest", index), operator.KeyDigest)
 	}
 	if count := len(declaration.Claims.Holders); count > 0 && count < 3 {
 		report("claims.holders", fmt.Sprintf("%d holders cannot outlive the loss of one", count), "name at least 3 nodes, in different zones")
@@ -97,7 +97,7 @@
 	return names
 }
 
-// HasBackend reports whether an engine or server of the name is declared.
+// HasBackend reports whether an engine or server with the given name is declared.
 func (declaration *Declaration) HasBackend(name string) bool {
 	for _, pool := range declaration.Pools {
 		for _, engine := range pool.Engines {
--- a/internal/coordination/position_test.go
+++ b/internal/coordination/position_test.go
@@ -9,35 +9,35 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// Tokens order positions as the store went through them, and those of a store that has never
-// gone back are the revisions that former builds use.
-func TestTokensOrderPositions(t *testing.T) {
+// Tokens order positions as the store reached them. Those of a store that was never restored are
+// the revisions that builds without eras use.
+func TestTokenOrderMatchesPositionOrder(t *testing.T) {
 	draw := func(t *rapid.T, name string) Position {
 		return Position{Era: rapid.Int64Range(1, 8191).Draw(t, name+" era"), Revision: rapid.Int64Range(1, 1<<revisionBits-1).Draw(t, name)}
 	}
 	property.Check(t, func(t *rapid.T) {
-		one, other := draw(t, "one"), draw(t, "other")
-		require.Equal(t, one.Before(other), one.Token() < other.Token())
-		require.Equal(t, one == other, one.Token() == other.Token())
-		require.Equal(t, one.Revision, Position{Era: firstEra, Revision: one.Revision}.Token())
-		require.Equal(t, one.Revision, Position{Revision: one.Revision}.Token(), "a store that names no era")
-		require.Less(t, one.Token(), int64(1)<<53, "exact as a floating point number")
-		require.Equal(t, one.Later(other), other.Later(one))
+		a, b := draw(t, "one"), draw(t, "other")
+		require.Equal(t, a.Before(b), a.Token() < b.Token())
+		require.Equal(t, a == b, a.Token() == b.Token())
+		require.Equal(t, a.Revision, Position{Era: initialEra, Revision: a.Revision}.Token())
+		require.Equal(t, a.Revision, Position{Revision: a.Revision}.Token(), "a store that names no era")
+		require.Less(t, a.Token(), int64(1)<<53, "exact as a floating point number")
+		require.Equal(t, a.Later(b), b.Later(a))
 	})
 }
 
-func TestErasOnlyRise(t *testing.T) {
+func TestEraTrackerIsMonotonic(t *testing.T) {
 	var changes [][2]int64
 	var ignored []string
-	eras := &Eras{
-		Changed: func(before, after int64) { changes = append(changes, [2]int64{before, after}) },
-		Ignored: func(told string, _ int64) { ignored = append(ignored, told) },
+	eras := &EraTracker{
+		OnChange:  func(before, after int64) { changes = append(changes, [2]int64{before, after}) },
+		OnIgnored: func(value string, _ int64) { ignored = append(ignored, value) },
 	}
 	eras.Ignore("")
 	require.True(t, eras.Observe(4), "the first is no change")
-	_, since := eras.State()
-	require.True(t, since.IsZero())
-	next := eras.Next()
+	_, restoredAt := eras.State()
+	require.True(t, restoredAt.IsZero())
+	next := eras.NextChange()
 	require.True(t, eras.Observe(4))
 	require.False(t, eras.Observe(3))
 	require.True(t, eras.Observe(5))
@@ -47,10 +47,10 @@
 	require.Equal(t, [][2]int64{{4, 5}}, changes)
 	require.Equal(t, []string{"3", "soon", ""}, ignored)
 	require.EqualValues(t, 5, eras.Current())
-	_, since = eras.State()
-	require.False(t, since.IsZero())
-	var nobody *Eras
-	require.True(t, nobody.Observe(7))
-	require.Zero(t, nobody.Current())
-	require.Nil(t, nobody.Next())
+	_, restoredAt = eras.State()
+	require.False(t, restoredAt.IsZero())
+	var nilTracker *EraTracker
+	require.True(t, nilTracker.Observe(7))
+	require.Zero(t, nilTracker.Current())
+	require.Nil(t, nilTracker.NextChange())
 }
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -210,7 +210,7 @@
 			Loading:      known.record.Loading,
 			Leaving:      known.record.Leaving || known.drained,
 			Down:         known.record.Down,
-			Resting:      !known.breaker.Allows(now),
+			BreakerOpen:  !known.breaker.Allows(now),
 			InFlight:     known.inFlight,
 			Running:      max(load.Running+load.Waiting, known.inFlight),
 			QueuedTokens: tokens,
--- a/internal/exchange/driver.go
+++ b/internal/exchange/driver.go
@@ -12,58 +12,58 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// message is what an attempt's goroutine tells the driver.
-type message struct {
-	event  Event
-	result Result
-	reply  *Reply
-	raw    []byte
+// update is sent by an attempt's goroutine to the driver.
+type update struct {
+	event    Event
+	result   Result
+	reply    *Reply
+	rawEvent []byte
 }
 
-// run is the state of one request's performance.
-type run struct {
-	request   Request
-	machine   *Machine
-	queue     []Action
-	started   time.Time
-	outcome   Outcome
-	placement Placement
-	inbox     chan message
-	cancel    context.CancelFunc
-	result    Result
-	reply     *Reply
-	kept      *Answer
-	raw       []byte
-	silence   *time.Timer
-	late      *time.Timer
-	patience  time.Duration
-	heardAt   time.Time
+// driver runs one request: it performs the actions of its Machine and feeds events back.
+type driver struct {
+	request        Request
+	machine        *Machine
+	pendingActions []Action
+	started        time.Time
+	outcome        Outcome
+	placement      Placement
+	updates        chan update
+	cancel         context.CancelFunc
+	result         Result
+	reply          *Reply
+	stashed        *Answer
+	rawEvent       []byte
+	silenceTimer   *time.Timer
+	startTimer     *time.Timer
+	silenceTimeout time.Duration
+	lastActivity   time.Time
 }
 
-// Run carries a request to its end. The context ends with the caller or with
-// the request's time.
+// Run processes a request to completion. The context must end when the caller
+// disconnects or when the request's deadline passes.
 func Run(ctx context.Context, request Request) Outcome {
 	started := boottime.Now()
-	run := &run{
-		request: request,
-		machine: NewMachine(request.Rules, request.Budget, request.ResumeAfter),
-		started: started,
-		silence: stoppedTimer(),
-		late:    stoppedTimer(),
+	driver := &driver{
+		request:      request,
+		machine:      NewMachine(request.Rules, request.Budget, request.ResumeAfter),
+		started:      started,
+		silenceTimer: stoppedTimer(),
+		startTimer:   stoppedTimer(),
 	}
-	run.queue = run.machine.Start(started)
-	for !run.machine.Finished() || len(run.queue) > 0 {
-		if len(run.queue) == 0 {
-			run.await(ctx)
+	driver.pendingActions = driver.machine.Start(started)
+	for !driver.machine.Finished() || len(driver.pendingActions) > 0 {
+		if len(driver.pendingActions) == 0 {
+			driver.await(ctx)
 			continue
 		}
-		action := run.queue[0]
-		run.queue = run.queue[1:]
-		run.perform(ctx, action)
+		action := driver.pendingActions[0]
+		driver.pendingActions = driver.pendingActions[1:]
+		driver.perform(ctx, action)
 	}
-	run.release(ResultNeutral)
-	run.outcome.Runs, run.outcome.Sends = run.machine.Runs(), run.machine.Sends()
-	return run.outcome
+	driver.endAttempt(ResultNeutral)
+	driver.outcome.Runs, driver.outcome.Sends = driver.machine.Runs(), driver.machine.Sends()
+	return driver.outcome
 }
 
 func stoppedTimer() *time.Timer {
@@ -72,182 +72,183 @@
 	return timer
 }
 
-func (run *run) step(event Event) {
-	if run.request.Observe != nil {
+func (driver *driver) step(event Event) {
+	if driver.request.Observe != nil {
 		server := ""
-		if run.placement != nil {
-			server = run.placement.Server()
+		if driver.placement != nil {
+			server = driver.placement.Server()
 		}
-		run.request.Observe(server, event)
+		driver.request.Observe(server, event)
 	}
-	run.queue = append(run.queue, run.machine.Step(boottime.Now(), event)...)
+	driver.pendingActions = append(driver.pendingActions, driver.machine.Step(boottime.Now(), event)...)
 }
 
-// await waits for the next thing that happens.
-func (run *run) await(ctx context.Context) {
+// await waits for the next event and steps the machine.
+func (driver *driver) await(ctx context.Context) {
 	select {
-	case message := <-run.inbox:
-		run.result, run.raw = message.result, message.raw
-		if message.reply != nil {
-			run.reply = message.reply
+	case update := <-driver.updates:
+		driver.result, driver.rawEvent = update.result, update.rawEvent
+		if update.reply != nil {
+			driver.reply = update.reply
 		}
-		run.heard(message.event)
-		run.step(message.event)
-	case <-run.silence.C:
-		run.doubt()
-	case <-run.late.C:
-		run.step(Late{})
+		driver.recordActivity(update.event)
+		driver.step(update.event)
+	case <-driver.silenceTimer.C:
+		driver.checkSilence()
+	case <-driver.startTimer.C:
+		driver.step(Late{})
 	case <-ctx.Done():
-		run.step(run.over(ctx))
-	case <-run.request.Stopping:
-		run.step(Stopping{})
+		driver.step(driver.contextEvent(ctx))
+	case <-driver.request.Stopping:
+		driver.step(Stopping{})
 	}
 }
 
-// over says why the request's context ended.
-func (run *run) over(ctx context.Context) Event {
+// contextEvent returns the event for the end of the request's context.
+func (driver *driver) contextEvent(ctx context.Context) Event {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		run.result = ResultSilent
+		driver.result = ResultSilent
 		return Expired{}
 	}
 	return CallerLeft{}
 }
 
-// heard sets the clock of the silence anew.
-func (run *run) heard(event Event) {
+// recordActivity restarts the silence timer after an event of the response.
+func (driver *driver) recordActivity(event Event) {
 	switch event.(type) {
 	case Opened, Arrived:
-		run.late.Stop()
-		run.placement.Started()
-		run.listen(run.request.Patience.Between)
+		driver.startTimer.Stop()
+		driver.placement.ResponseStarted()
+		driver.resetSilenceTimer(driver.request.SilenceTimeouts.BetweenEvents)
 	}
 }
 
-// doubt decides on an attempt that has been silent for long.
-func (run *run) doubt() {
-	if !run.placement.Doubtful(boottime.Since(run.heardAt)) {
-		run.silence.Reset(run.patience)
+// checkSilence reports a silent attempt to the machine if its placement has stalled.
+func (driver *driver) checkSilence() {
+	if !driver.placement.Stalled(boottime.Since(driver.lastActivity)) {
+		driver.silenceTimer.Reset(driver.silenceTimeout)
 		return
 	}
-	run.step(Silent{})
-	if len(run.queue) > 0 {
-		run.result = ResultSilent
+	driver.step(Silent{})
+	if len(driver.pendingActions) > 0 {
+		driver.result = ResultSilent
 	}
 }
 
-func (run *run) listen(patience time.Duration) {
-	run.silence.Stop()
-	run.patience, run.heardAt = patience, boottime.Now()
-	if patience > 0 {
-		run.silence.Reset(patience)
+func (driver *driver) resetSilenceTimer(timeout time.Duration) {
+	driver.silenceTimer.Stop()
+	driver.silenceTimeout, driver.lastActivity = timeout, boottime.Now()
+	if timeout > 0 {
+		driver.silenceTimer.Reset(timeout)
 	}
 }
 
-func (run *run) perform(ctx context.Context, action Action) {
+func (driver *driver) perform(ctx context.Context, action Action) {
 	switch action := action.(type) {
 	case Place:
-		run.place(ctx, action)
+		driver.place(ctx, action)
 	case Send:
-		run.send(ctx, action)
+		driver.send(ctx, action)
 	case Cancel:
-		run.release(ResultNeutral)
-	case Keep:
-		run.kept = run.reply.Whole
-		run.release(ResultFaulty)
+		driver.endAttempt(ResultNeutral)
+	case Stash:
+		driver.stashed = driver.reply.Whole
+		driver.endAttempt(ResultFaulty)
 	case Deliver:
-		run.deliver()
+		driver.deliver()
 	case Open:
-		run.outcome.Status = run.reply.Status
-		run.outcome.FirstAfter = boottime.Since(run.started)
-		run.give(run.request.Caller.Open(run.reply.Status, run.reply.Header))
+		driver.outcome.Status = driver.reply.Status
+		driver.outcome.TimeToHead = boottime.Since(driver.started)
+		driver.checkWrite(driver.request.Caller.Open(driver.reply.Status, driver.reply.Header))
 	case Forward:
-		run.give(run.request.Caller.Forward(run.raw))
+		driver.checkWrite(driver.request.Caller.Forward(driver.rawEvent))
 	case Finish:
-		run.release(ResultServed)
+		driver.endAttempt(ResultServed)
 	case Cut:
-		run.outcome.Cut, run.outcome.Failure = true, action.Failure
+		driver.outcome.Cut, driver.outcome.Failure = true, action.Failure
 	case Fail:
-		run.outcome.Failure = action.Failure
+		driver.outcome.Failure = action.Failure
 	}
 }
 
-// give follows a write to the caller.
-func (run *run) give(err error) {
+// checkWrite handles the result of a write to the caller.
+func (driver *driver) checkWrite(err error) {
 	if err != nil {
-		run.step(CallerLeft{})
+		driver.step(CallerLeft{})
 	}
 }
 
-func (run *run) deliver() {
-	answer := run.kept
-	if run.placement != nil && run.reply != nil && run.reply.Whole != nil {
-		answer = run.reply.Whole
-		run.release(run.result)
+func (driver *driver) deliver() {
+	answer := driver.stashed
+	if driver.placement != nil && driver.reply != nil && driver.reply.Whole != nil {
+		answer = driver.reply.Whole
+		driver.endAttempt(driver.result)
 	}
-	run.outcome.Status = answer.Status
-	run.outcome.FirstAfter = boottime.Since(run.started)
-	if run.request.Caller.Answer(answer) != nil {
-		run.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller left before the end", "send it again").WithOutcome(failure.Ran)
+	driver.outcome.Status = answer.Status
+	driver.outcome.TimeToHead = boottime.Since(driver.started)
+	if driver.request.Caller.Answer(answer) != nil {
+		driver.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller left before the end", "send it again").WithOutcome(failure.Ran)
 	}
 }
 
-func (run *run) place(ctx context.Context, action Place) {
-	if action.Pause > 0 {
+func (driver *driver) place(ctx context.Context, action Place) {
+	if action.Delay > 0 {
 		select {
-		case <-time.After(action.Pause):
+		case <-time.After(action.Delay):
 		case <-ctx.Done():
-			run.step(run.over(ctx))
+			driver.step(driver.contextEvent(ctx))
 			return
-		case <-run.request.Stopping:
-			run.step(Stopping{})
+		case <-driver.request.Stopping:
+			driver.step(Stopping{})
 			return
 		}
 	}
-	placement, unplaced := run.request.Placer.Place(action.Excluded)
+	placement, unplaced := driver.request.Placer.Place(action.Excluded)
 	if unplaced != nil {
-		run.step(*unplaced)
+		driver.step(*unplaced)
 		return
 	}
-	run.placement = placement
-	run.step(Placed{Server: placement.Server()})
+	driver.placement = placement
+	driver.step(Placed{Server: placement.Server()})
 }
 
-func (run *run) send(ctx context.Context, action Send) {
-	attempt, cancel := context.WithCancel(ctx)
-	run.cancel = cancel
-	run.reply = nil
-	run.result = ResultNeutral
-	run.inbox = make(chan message)
-	run.listen(run.request.Patience.First)
-	if by := run.placement.StartBy(); !by.IsZero() {
-		run.late.Reset(boottime.Until(by))
+func (driver *driver) send(ctx context.Context, action Send) {
+	attemptCtx, cancel := context.WithCancel(ctx)
+	driver.cancel = cancel
+	driver.reply = nil
+	driver.result = ResultNeutral
+	driver.updates = make(chan update)
+	driver.resetSilenceTimer(driver.request.SilenceTimeouts.FirstEvent)
+	if deadline := driver.placement.StartDeadline(); !deadline.IsZero() {
+		driver.startTimer.Reset(boottime.Until(deadline))
 	}
-	go perform(attempt, run.placement, action, run.inbox)
+	go runAttempt(attemptCtx, driver.placement, action, driver.updates)
 }
 
-// release ends the current attempt. What was heard of it goes before other.
-func (run *run) release(other Result) {
-	if run.placement == nil {
+// endAttempt ends the current attempt, if any. A result already observed overrides
+// fallback, unless fallback is ResultServed.
+func (driver *driver) endAttempt(fallback Result) {
+	if driver.placement == nil {
 		return
 	}
-	run.silence.Stop()
-	run.late.Stop()
-	if run.cancel != nil {
-		run.cancel()
+	driver.silenceTimer.Stop()
+	driver.startTimer.Stop()
+	if driver.cancel != nil {
+		driver.cancel()
 	}
-	if run.result != ResultNeutral && other != ResultServed {
-		other = run.result
+	if driver.result != ResultNeutral && fallback != ResultServed {
+		fallback = driver.result
 	}
-	run.placement.End(other)
-	run.placement, run.cancel, run.inbox = nil, nil, nil
+	driver.placement.End(fallback)
+	driver.placement, driver.cancel, driver.updates = nil, nil, nil
 }
 
-// perform sends one attempt and tells of all that comes of it, until its
+// runAttempt sends one attempt and reports its updates until it is complete or its
 // context ends.
-func perform(ctx context.Context, placement Placement, action Send, inbox chan<- message) {
-	tell := func(message message) bool {
+func runAttempt(ctx context.Context, placement Placement, action Send, updates chan<- update) {
+	report := func(update update) bool {
 		select {
-		case inbox <- message:
+		case updates <- update:
 			return true
 		case <-ctx.Done():
 			return false
@@ -255,56 +256,56 @@
 	}
 	reply, err := placement.Send(ctx, action.Resumes, action.After)
 	if err != nil {
-		tell(failed(err))
+		report(failureUpdate(err))
 		return
 	}
 	defer reply.Close()
 	if reply.Whole != nil {
-		tell(whole(reply))
+		report(wholeUpdate(reply))
 		return
 	}
-	if !tell(message{event: Opened{}, result: ResultServed, reply: reply}) {
+	if !report(update{event: Opened{}, result: ResultServed, reply: reply}) {
 		return
 	}
 	for {
 		next, err := reply.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			tell(message{event: Ended{}, result: ResultServed})
+			report(update{event: Ended{}, result: ResultServed})
 			return
 		case err != nil:
-			tell(failed(err))
+			report(failureUpdate(err))
 			return
 		}
 		raw := append([]byte(nil), next.Raw...)
-		if !tell(message{event: Arrived{ID: next.ID, HasID: next.HasID}, result: ResultServed, raw: raw}) {
+		if !report(update{event: Arrived{ID: next.ID, HasID: next.HasID}, result: ResultServed, rawEvent: raw}) {
 			return
 		}
 	}
 }
 
-func whole(reply *Reply) message {
+func wholeUpdate(reply *Reply) update {
 	if reply.Status >= http.StatusInternalServerError {
-		return message{event: Answered{Faulty: true}, result: ResultFaulty, reply: reply}
+		return update{event: Answered{Faulty: true}, result: ResultFaulty, reply: reply}
 	}
-	return message{event: Answered{}, result: ResultServed, reply: reply}
+	return update{event: Answered{}, result: ResultServed, reply: reply}
 }
 
-func failed(err error) message {
+func failureUpdate(err error) update {
 	var refused *ErrRefused
 	var unreached *ErrUnreached
 	var withdrawn *ErrWithdrawn
 	var cutOff *ErrCutOff
 	switch {
 	case errors.As(err, &refused):
-		return message{event: Refused{Reason: refused.Reason}, result: ResultRefused}
+		return update{event: Refused{Reason: refused.Reason}, result: ResultRefused}
 	case errors.As(err, &unreached):
-		return message{event: Unreached{Reason: unreached.Reason}, result: ResultUnreached}
+		return update{event: Unreached{Reason: unreached.Reason}, result: ResultUnreached}
 	case errors.As(err, &withdrawn):
-		return message{event: Unreached{Reason: withdrawn.Reason}, result: ResultNeutral}
+		return update{event: Unreached{Reason: withdrawn.Reason}, result: ResultNeutral}
 	case errors.As(err, &cutOff):
-		return message{event: Broken{Reason: err.Error()}, result: ResultCutOff}
+		return update{event: Broken{Reason: err.Error()}, result: ResultCutOff}
 	default:
-		return message{event: Broken{Reason: err.Error()}, result: ResultBroken}
+		return update{event: Broken{Reason: err.Error()}, result: ResultBroken}
 	}
 }
--- a/internal/exchange/driver_bench_test.go
+++ b/internal/exchange/driver_bench_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// quiet is a caller that takes everything.
-type quiet struct{}
+// discardCaller is a Caller that discards the response.
+type discardCaller struct{}
 
-func (quiet) Answer(*Answer) error        { return nil }
-func (quiet) Open(int, http.Header) error { return nil }
-func (quiet) Forward([]byte) error        { return nil }
+func (discardCaller) Answer(*Answer) error        { return nil }
+func (discardCaller) Open(int, http.Header) error { return nil }
+func (discardCaller) Forward([]byte) error        { return nil }
 
-// BenchmarkStream is the time and the allocations of carrying one stream of 50 events,
-// without sockets.
+// BenchmarkStream measures the time and the allocations of forwarding a stream of 50 events
+// without network connections.
 func BenchmarkStream(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		servers := &servers{list: []server{streams(50, io.EOF)}}
-		outcome := Run(context.Background(), Request{Rules: once, Budget: &purse{}, Placer: servers, Caller: quiet{}})
+		placer := &placer{list: []fakeServer{streams(50, io.EOF)}}
+		outcome := Run(context.Background(), Request{Rules: singleRun, Budget: &fixedBudget{}, Placer: placer, Caller: discardCaller{}})
 		if outcome.Failure != nil {
 			b.Fatal(outcome.Failure)
 		}
--- a/internal/exchange/driver_test.go
+++ b/internal/exchange/driver_test.go
@@ -15,85 +15,85 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// server answers one attempt.
-type server func(ctx context.Context, resumes bool, after int64) (*Reply, error)
+// fakeServer responds to one attempt.
+type fakeServer func(ctx context.Context, resumes bool, after int64) (*Reply, error)
 
-// servers places attempts on servers in their order.
-type servers struct {
-	list    []server
-	next    int
-	results []Result
-	doubts  func(silent time.Duration) bool
-	startBy time.Duration
+// placer places each attempt on the next server of a list.
+type placer struct {
+	list        []fakeServer
+	next        int
+	results     []Result
+	stalled     func(silent time.Duration) bool
+	startWithin time.Duration
 }
 
-func (servers *servers) Place([]string) (Placement, *Unplaced) {
-	if servers.next >= len(servers.list) {
-		return nil, &Unplaced{Reason: "none is left", Lasting: true}
+func (placer *placer) Place([]string) (Placement, *Unplaced) {
+	if placer.next >= len(placer.list) {
+		return nil, &Unplaced{Reason: "none is left", Permanent: true}
 	}
-	servers.next++
-	return &placed{servers: servers, number: servers.next - 1}, nil
+	placer.next++
+	return &placement{placer: placer, number: placer.next - 1}, nil
 }
 
-type placed struct {
-	servers *servers
-	number  int
+type placement struct {
+	placer *placer
+	number int
 }
 
-func (placed *placed) Server() string { return fmt.Sprint(placed.number) }
-func (placed *placed) Started()       {}
-func (placed *placed) Doubtful(silent time.Duration) bool {
-	return placed.servers.doubts != nil && placed.servers.doubts(silent)
+func (placement *placement) Server() string   { return fmt.Sprint(placement.number) }
+func (placement *placement) ResponseStarted() {}
+func (placement *placement) Stalled(silent time.Duration) bool {
+	return placement.placer.stalled != nil && placement.placer.stalled(silent)
 }
-func (placed *placed) StartBy() time.Time {
-	if placed.servers.startBy == 0 || placed.number > 0 {
+func (placement *placement) StartDeadline() time.Time {
+	if placement.placer.startWithin == 0 || placement.number > 0 {
 		return time.Time{}
 	}
-	return time.Now().Add(placed.servers.startBy)
+	return time.Now().Add(placement.placer.startWithin)
 }
-func (placed *placed) End(result Result) {
-	placed.servers.results = append(placed.servers.results, result)
+func (placement *placement) End(result Result) {
+	placement.placer.results = append(placement.placer.results, result)
 }
-func (placed *placed) Send(ctx context.Context, resumes bool, after int64) (*Reply, error) {
-	return placed.servers.list[placed.number](ctx, resumes, after)
+func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*Reply, error) {
+	return placement.placer.list[placement.number](ctx, resumes, after)
 }
 
-// page collects what a caller gets.
-type page struct {
-	heads  int
-	status int
-	text   strings.Builder
-	leave  bool
+// recorder is a Caller that records the response.
+type recorder struct {
+	heads       int
+	status      int
+	body        strings.Builder
+	disconnects bool
 }
 
-func (page *page) Answer(answer *Answer) error {
-	page.heads++
-	page.status = answer.Status
-	page.text.Write(answer.Body)
+func (recorder *recorder) Answer(answer *Answer) error {
+	recorder.heads++
+	recorder.status = answer.Status
+	recorder.body.Write(answer.Body)
 	return nil
 }
 
-func (page *page) Open(status int, _ http.Header) error {
-	page.heads++
-	page.status = status
+func (recorder *recorder) Open(status int, _ http.Header) error {
+	recorder.heads++
+	recorder.status = status
 	return nil
 }
 
-func (page *page) Forward(event []byte) error {
-	if page.leave {
+func (recorder *recorder) Forward(event []byte) error {
+	if recorder.disconnects {
 		return errors.New("gone")
 	}
-	page.text.Write(event)
+	recorder.body.Write(event)
 	return nil
 }
 
-func whollyAnswers(status int, text string) server {
+func respondsWith(status int, text string) fakeServer {
 	return func(context.Context, bool, int64) (*Reply, error) {
 		return &Reply{Status: status, Whole: &Answer{Status: status, Body: []byte(text)}, Close: func() {}}, nil
 	}
 }
 
-func fails(err error) server {
+func fails(err error) fakeServer {
 	return func(context.Context, bool, int64) (*Reply, error) { return nil, err }
 }
 
@@ -102,8 +102,8 @@
 	return nil, ctx.Err()
 }
 
-// streams sends events from after+1 to last, and then the error.
-func streams(last int64, end error) server {
+// streams returns a server that sends the events from after+1 to last and then fails with end.
+func streams(last int64, end error) fakeServer {
 	return func(_ context.Context, resumes bool, after int64) (*Reply, error) {
 		next := int64(1)
 		if resumes {
@@ -119,43 +119,43 @@
 	}
 }
 
-func carry(ctx context.Context, rules Rules, page *page, list ...server) (Outcome, *servers) {
-	chosen := &servers{list: list}
-	outcome := Run(ctx, Request{Rules: rules, Budget: &purse{left: 9}, Placer: chosen, Caller: page})
+func runRequest(ctx context.Context, rules Rules, recorder *recorder, list ...fakeServer) (Outcome, *placer) {
+	chosen := &placer{list: list}
+	outcome := Run(ctx, Request{Rules: rules, Budget: &fixedBudget{remaining: 9}, Placer: chosen, Caller: recorder})
 	return outcome, chosen
 }
 
-func TestAStreamIsOneWholeAnswerWhateverBreaks(t *testing.T) {
-	page := &page{}
-	outcome, chosen := carry(context.Background(), Rules{Repeatable: true, Runs: 3, Sends: 6}, page,
+func TestBrokenStreamIsResumedAsOneResponse(t *testing.T) {
+	recorder := &recorder{}
+	outcome, chosen := runRequest(context.Background(), Rules{Repeatable: true, MaxRuns: 3, MaxSends: 6}, recorder,
 		streams(2, io.ErrUnexpectedEOF), fails(&ErrRefused{}), streams(4, io.ErrUnexpectedEOF), streams(6, io.EOF))
 	require.Nil(t, outcome.Failure)
-	require.Equal(t, "1 2 3 4 5 6 ", page.text.String())
-	require.Equal(t, 1, page.heads)
+	require.Equal(t, "1 2 3 4 5 6 ", recorder.body.String())
+	require.Equal(t, 1, recorder.heads)
 	require.Equal(t, []Result{ResultBroken, ResultRefused, ResultBroken, ResultServed}, chosen.results)
 }
 
-func TestAStreamThatCannotGoOnIsCutOff(t *testing.T) {
-	page := &page{}
-	outcome, _ := carry(context.Background(), once, page, streams(2, io.ErrUnexpectedEOF), streams(6, io.EOF))
+func TestNonRepeatableBrokenStreamIsCut(t *testing.T) {
+	recorder := &recorder{}
+	outcome, _ := runRequest(context.Background(), singleRun, recorder, streams(2, io.ErrUnexpectedEOF), streams(6, io.EOF))
 	require.True(t, outcome.Cut)
 	require.Equal(t, failure.Ran, outcome.Failure.Outcome)
-	require.Equal(t, "1 2 ", page.text.String())
+	require.Equal(t, "1 2 ", recorder.body.String())
 }
 
-func TestTheBetterOfTwoAnswersIsDelivered(t *testing.T) {
-	page := &page{}
-	outcome, _ := carry(context.Background(), twice, page, whollyAnswers(500, "sorry"), whollyAnswers(200, "done"))
+func TestServerErrorIsDeliveredOnlyIfRetryFails(t *testing.T) {
+	recorder := &recorder{}
+	outcome, _ := runRequest(context.Background(), twoRuns, recorder, respondsWith(500, "sorry"), respondsWith(200, "done"))
 	require.Nil(t, outcome.Failure)
-	require.Equal(t, "done", page.text.String())
-	page.text.Reset()
-	outcome, _ = carry(context.Background(), twice, page, whollyAnswers(500, "sorry"), fails(errors.New("reset")))
+	require.Equal(t, "done", recorder.body.String())
+	recorder.body.Reset()
+	outcome, _ = runRequest(context.Background(), twoRuns, recorder, respondsWith(500, "sorry"), fails(errors.New("reset")))
 	require.Nil(t, outcome.Failure)
-	require.Equal(t, "sorry", page.text.String())
-	require.Equal(t, 500, page.status)
+	require.Equal(t, "sorry", recorder.body.String())
+	require.Equal(t, 500, recorder.status)
 }
 
-func TestTheEndOfTheTimeEndsTheServersWork(t *testing.T) {
+func TestDeadlineCancelsAttempt(t *testing.T) {
 	ended := make(chan struct{})
 	server := func(ctx context.Context, _ bool, _ int64) (*Reply, error) {
 		<-ctx.Done()
@@ -164,72 +164,72 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	outcome, chosen := carry(ctx, once, &page{}, server)
+	outcome, chosen := runRequest(ctx, singleRun, &recorder{}, server)
 	<-ended
 	require.Equal(t, failure.KindDeadline, outcome.Failure.Kind)
 	require.Equal(t, failure.Unknown, outcome.Failure.Outcome)
 	require.Equal(t, []Result{ResultSilent}, chosen.results)
 }
 
-func TestACallerWhoLeavesEndsTheServersWork(t *testing.T) {
-	outcome, chosen := carry(context.Background(), once, &page{leave: true}, streams(3, io.EOF))
+func TestCallerDisconnectEndsAttempt(t *testing.T) {
+	outcome, chosen := runRequest(context.Background(), singleRun, &recorder{disconnects: true}, streams(3, io.EOF))
 	require.Equal(t, failure.KindCallerLeft, outcome.Failure.Kind)
 	require.Len(t, chosen.results, 1)
 }
 
-func TestAStopEndsOpenRequestsWithAWholeAnswer(t *testing.T) {
+func TestShutdownFailsOpenRequests(t *testing.T) {
 	stopping := make(chan struct{})
 	close(stopping)
 	outcome := Run(context.Background(), Request{
-		Rules: once, Budget: &purse{}, Placer: &servers{list: []server{hangs}}, Caller: &page{}, Stopping: stopping,
+		Rules: singleRun, Budget: &fixedBudget{}, Placer: &placer{list: []fakeServer{hangs}}, Caller: &recorder{}, Stopping: stopping,
 	})
 	require.Equal(t, failure.KindStopping, outcome.Failure.Kind)
 	require.False(t, outcome.Cut)
 }
 
-func TestSilenceIsDoubtedBeforeAnotherServerIsTried(t *testing.T) {
-	asked := 0
-	chosen := &servers{list: []server{hangs, whollyAnswers(200, "done")}}
-	chosen.doubts = func(time.Duration) bool {
+func TestSilentAttemptIsRetriedOnlyWhenStalled(t *testing.T) {
+	checks := 0
+	chosen := &placer{list: []fakeServer{hangs, respondsWith(200, "done")}}
+	chosen.stalled = func(time.Duration) bool {
 		if len(chosen.results) > 0 {
-			// On a busy machine the answer of the other one may take longer than the patience, too.
+			// On a busy machine the second server's response may also exceed the silence timeout.
 			return false
 		}
-		asked++
-		return asked == 3
+		checks++
+		return checks == 3
 	}
-	page := &page{}
+	recorder := &recorder{}
 	outcome := Run(context.Background(), Request{
-		Rules: twice, Budget: &purse{left: 1}, Placer: chosen, Caller: page, Patience: Patience{First: time.Millisecond},
+		Rules: twoRuns, Budget: &fixedBudget{remaining: 1}, Placer: chosen, Caller: recorder, SilenceTimeouts: SilenceTimeouts{FirstEvent: time.Millisecond},
 	})
 	require.Nil(t, outcome.Failure)
-	require.Equal(t, 3, asked)
+	require.Equal(t, 3, checks)
 	require.Equal(t, []Result{ResultSilent, ResultServed}, chosen.results)
 }
 
-func TestAnAttemptThatDoesNotBeginInTimeIsEnded(t *testing.T) {
-	for _, rules := range []Rules{once, twice} {
+func TestAttemptIsCancelledAtStartDeadline(t *testing.T) {
+	for _, rules := range []Rules{singleRun, twoRuns} {
 		ended := make(chan struct{})
 		slow := func(ctx context.Context, _ bool, _ int64) (*Reply, error) {
 			<-ctx.Done()
 			close(ended)
 			return nil, ctx.Err()
 		}
-		chosen := &servers{list: []server{slow, streams(2, io.EOF)}, startBy: time.Millisecond}
-		page := &page{}
-		outcome := Run(context.Background(), Request{Rules: rules, Budget: &purse{left: 1}, Placer: chosen, Caller: page})
+		chosen := &placer{list: []fakeServer{slow, streams(2, io.EOF)}, startWithin: time.Millisecond}
+		recorder := &recorder{}
+		outcome := Run(context.Background(), Request{Rules: rules, Budget: &fixedBudget{remaining: 1}, Placer: chosen, Caller: recorder})
 		<-ended
 		if rules.Repeatable {
 			require.Nil(t, outcome.Failure)
-			require.Equal(t, "1 2 ", page.text.String())
+			require.Equal(t, "1 2 ", recorder.body.String())
 			continue
 		}
 		require.Equal(t, failure.Unknown, outcome.Failure.Outcome)
 	}
 }
 
-func TestAStreamThatHasBegunIsNotEndedForBeingLate(t *testing.T) {
-	chosen := &servers{list: []server{streams(50, io.EOF)}, startBy: 20 * time.Second}
-	outcome := Run(context.Background(), Request{Rules: once, Budget: &purse{}, Placer: chosen, Caller: &page{}})
+func TestStartDeadlineDoesNotApplyToStartedStream(t *testing.T) {
+	chosen := &placer{list: []fakeServer{streams(50, io.EOF)}, startWithin: 20 * time.Second}
+	outcome := Run(context.Background(), Request{Rules: singleRun, Budget: &fixedBudget{}, Placer: chosen, Caller: &recorder{}})
 	require.Nil(t, outcome.Failure)
 }
--- a/internal/exchange/machine_test.go
+++ b/internal/exchange/machine_test.go
@@ -12,140 +12,140 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// purse is a budget of a fixed size.
-type purse struct{ left int }
+// fixedBudget is a Budget of a fixed number of retries.
+type fixedBudget struct{ remaining int }
 
-func (purse *purse) Withdraw(time.Time) bool {
-	if purse.left == 0 {
+func (fixedBudget *fixedBudget) Withdraw(time.Time) bool {
+	if fixedBudget.remaining == 0 {
 		return false
 	}
-	purse.left--
+	fixedBudget.remaining--
 	return true
 }
 
-// observer drives a machine and checks what it does against the promises.
-type observer struct {
+// checker drives a machine with events and checks the invariants of its actions.
+type checker struct {
 	t       *rapid.T
 	rules   Rules
 	machine *Machine
 	now     time.Time
 
-	placing  bool
-	inFlight bool
-	mayRun   int
-	sends    int
-	heads    int
-	lastID   int64
-	ended    bool
-	streamed bool
+	placing      bool
+	inFlight     bool
+	possibleRuns int
+	sends        int
+	heads        int
+	lastID       int64
+	ended        bool
+	streaming    bool
 }
 
-func (observer *observer) take(actions []Action) {
+func (checker *checker) checkActions(actions []Action) {
 	for _, action := range actions {
-		require.False(observer.t, observer.ended, "%T after the end", action)
+		require.False(checker.t, checker.ended, "%T after the end", action)
 		switch action := action.(type) {
 		case Place:
-			observer.placing, observer.inFlight = true, false
+			checker.placing, checker.inFlight = true, false
 		case Send:
-			observer.sends++
-			if observer.mayRun > 0 {
-				require.True(observer.t, observer.rules.Repeatable, "sent again although it may have run")
+			checker.sends++
+			if checker.possibleRuns > 0 {
+				require.True(checker.t, checker.rules.Repeatable, "sent again although it may have run")
 			}
-			observer.mayRun++
-			observer.inFlight = true
-			if observer.lastID >= 0 {
-				require.True(observer.t, action.Resumes)
-				require.Equal(observer.t, observer.lastID, action.After)
+			checker.possibleRuns++
+			checker.inFlight = true
+			if checker.lastID >= 0 {
+				require.True(checker.t, action.Resumes)
+				require.Equal(checker.t, checker.lastID, action.After)
 			}
 		case Open:
-			observer.heads++
+			checker.heads++
 		case Deliver:
-			require.Zero(observer.t, observer.heads, "a second head")
-			observer.heads++
-			observer.ended = true
+			require.Zero(checker.t, checker.heads, "a second head")
+			checker.heads++
+			checker.ended = true
 		case Finish:
-			observer.ended = true
+			checker.ended = true
 		case Cut:
-			require.Equal(observer.t, 1, observer.heads)
-			observer.ended = true
+			require.Equal(checker.t, 1, checker.heads)
+			checker.ended = true
 		case Fail:
-			require.Zero(observer.t, observer.heads)
-			require.Equal(observer.t, action.Failure.Outcome == failure.NotRun, observer.mayRun == 0, "the outcome is not what happened")
-			observer.ended = true
+			require.Zero(checker.t, checker.heads)
+			require.Equal(checker.t, action.Failure.Outcome == failure.NotRun, checker.possibleRuns == 0, "the outcome is not what happened")
+			checker.ended = true
 		}
 	}
-	require.LessOrEqual(observer.t, observer.heads, 1)
-	require.LessOrEqual(observer.t, observer.mayRun, observer.rules.Runs)
-	require.LessOrEqual(observer.t, observer.sends, observer.rules.Sends)
+	require.LessOrEqual(checker.t, checker.heads, 1)
+	require.LessOrEqual(checker.t, checker.possibleRuns, checker.rules.MaxRuns)
+	require.LessOrEqual(checker.t, checker.sends, checker.rules.MaxSends)
 }
 
-func (observer *observer) step(event Event) {
+func (checker *checker) step(event Event) {
 	switch event.(type) {
 	case Refused, Unreached:
-		observer.mayRun--
-		observer.inFlight = false
+		checker.possibleRuns--
+		checker.inFlight = false
 	case Answered, Ended, Broken, Late:
-		observer.inFlight = false
+		checker.inFlight = false
 	}
-	actions := observer.machine.Step(observer.now, event)
+	actions := checker.machine.Step(checker.now, event)
 	if arrived, isEvent := event.(Arrived); isEvent && len(actions) > 0 {
-		require.Greater(observer.t, arrived.ID, observer.lastID, "an event twice, or out of order")
-		observer.lastID = arrived.ID
+		require.Greater(checker.t, arrived.ID, checker.lastID, "an event twice, or out of order")
+		checker.lastID = arrived.ID
 	}
-	observer.take(actions)
+	checker.checkActions(actions)
 }
 
-// draw chooses an event that can happen now.
-func (observer *observer) draw() Event {
-	if observer.placing && !observer.inFlight {
-		observer.placing = false
-		observer.streamed = false
+// drawEvent draws an event that is possible in the current state.
+func (checker *checker) drawEvent() Event {
+	if checker.placing && !checker.inFlight {
+		checker.placing = false
+		checker.streaming = false
 		return rapid.SampledFrom([]Event{
-			Placed{Server: fmt.Sprint("s", observer.sends)}, Placed{Server: fmt.Sprint("s", observer.sends)},
+			Placed{Server: fmt.Sprint("s", checker.sends)}, Placed{Server: fmt.Sprint("s", checker.sends)},
 			Unplaced{Reason: "full"}, Expired{}, CallerLeft{}, Stopping{},
-		}).Draw(observer.t, "placement")
+		}).Draw(checker.t, "placement")
 	}
-	if observer.streamed {
-		next := max(0, observer.lastID+int64(rapid.IntRange(-1, 2).Draw(observer.t, "id")))
+	if checker.streaming {
+		next := max(0, checker.lastID+int64(rapid.IntRange(-1, 2).Draw(checker.t, "id")))
 		return rapid.SampledFrom([]Event{
 			Arrived{ID: next, HasID: true}, Arrived{ID: next, HasID: true}, Broken{Reason: "reset"}, Ended{}, Silent{}, Expired{}, CallerLeft{}, Stopping{},
-		}).Draw(observer.t, "stream")
+		}).Draw(checker.t, "stream")
 	}
 	event := rapid.SampledFrom([]Event{
 		Opened{}, Opened{}, Answered{}, Answered{Faulty: true}, Refused{Reason: "full"}, Unreached{Reason: "dark"},
 		Broken{Reason: "reset"}, Silent{}, Late{}, Expired{}, CallerLeft{}, Stopping{},
-	}).Draw(observer.t, "attempt")
-	_, observer.streamed = event.(Opened)
+	}).Draw(checker.t, "attempt")
+	_, checker.streaming = event.(Opened)
 	return event
 }
 
-func TestWhateverHappensThePromisesHold(t *testing.T) {
+func TestMachineInvariants(t *testing.T) {
 	property.CheckMany(t, 2000, func(t *rapid.T) {
 		rules := Rules{
 			Repeatable:    rapid.Bool().Draw(t, "repeatable"),
-			Runs:          rapid.IntRange(1, 3).Draw(t, "runs"),
-			Sends:         rapid.IntRange(1, DefaultSends).Draw(t, "sends"),
+			MaxRuns:       rapid.IntRange(1, 3).Draw(t, "runs"),
+			MaxSends:      rapid.IntRange(1, DefaultMaxSends).Draw(t, "sends"),
 			PlacementWait: 50 * time.Millisecond,
 		}
-		budget := &purse{left: rapid.IntRange(0, 4).Draw(t, "budget")}
-		observer := &observer{t: t, rules: rules, machine: NewMachine(rules, budget, nil), now: time.Unix(0, 0), lastID: -1}
-		observer.take(observer.machine.Start(observer.now))
+		budget := &fixedBudget{remaining: rapid.IntRange(0, 4).Draw(t, "budget")}
+		checker := &checker{t: t, rules: rules, machine: NewMachine(rules, budget, nil), now: time.Unix(0, 0), lastID: -1}
+		checker.checkActions(checker.machine.Start(checker.now))
 		for range 200 {
-			if observer.ended {
+			if checker.ended {
 				break
 			}
-			observer.now = observer.now.Add(10 * time.Millisecond)
-			observer.step(observer.draw())
+			checker.now = checker.now.Add(10 * time.Millisecond)
+			checker.step(checker.drawEvent())
 		}
-		require.Equal(t, observer.ended, observer.machine.Finished())
-		require.Empty(t, observer.machine.Step(observer.now, Arrived{ID: 99, HasID: true}), "something after the end")
+		require.Equal(t, checker.ended, checker.machine.Finished())
+		require.Empty(t, checker.machine.Step(checker.now, Arrived{ID: 99, HasID: true}), "something after the end")
 	})
 }
 
-// script runs a fixed course and returns the actions of its last event.
-func script(rules Rules, budget int, resumeAfter *int64, events ...Event) []Action {
+// lastActions runs a machine through a sequence of events and returns the actions of the last.
+func lastActions(rules Rules, budget int, resumeAfter *int64, events ...Event) []Action {
 	now := time.Unix(0, 0)
-	machine := NewMachine(rules, &purse{left: budget}, resumeAfter)
+	machine := NewMachine(rules, &fixedBudget{remaining: budget}, resumeAfter)
 	actions := machine.Start(now)
 	for _, event := range events {
 		actions = machine.Step(now, event)
@@ -154,43 +154,43 @@
 }
 
 var (
-	once  = Rules{Runs: 1, Sends: 6}
-	twice = Rules{Repeatable: true, Runs: 2, Sends: 6}
+	singleRun = Rules{MaxRuns: 1, MaxSends: 6}
+	twoRuns   = Rules{Repeatable: true, MaxRuns: 2, MaxSends: 6}
 )
 
-func TestARefusalIsTriedElsewhereAndABreakIsNot(t *testing.T) {
-	require.Contains(t, script(once, 1, nil, Placed{Server: "a"}, Refused{}), Place{Excluded: []string{"a"}})
-	require.Contains(t, script(once, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "nothing arrived: nothing to pay for")
-	broken := script(once, 9, nil, Placed{Server: "a"}, Broken{})
+func TestRetriesRefusedButNotBrokenAttempt(t *testing.T) {
+	require.Contains(t, lastActions(singleRun, 1, nil, Placed{Server: "a"}, Refused{}), Place{Excluded: []string{"a"}})
+	require.Contains(t, lastActions(singleRun, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "nothing arrived: nothing to pay for")
+	broken := lastActions(singleRun, 9, nil, Placed{Server: "a"}, Broken{})
 	require.Equal(t, failure.Unknown, broken[1].(Fail).Failure.Outcome)
-	denied := script(once, 0, nil, Placed{Server: "a"}, Refused{})
+	denied := lastActions(singleRun, 0, nil, Placed{Server: "a"}, Refused{})
 	require.Equal(t, failure.NotRun, denied[1].(Fail).Failure.Outcome)
 }
 
-func TestAStreamGoesOnAfterItsLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterLastEvent(t *testing.T) {
 	events := []Event{Placed{Server: "a"}, Opened{}, Arrived{ID: 1, HasID: true}, Arrived{ID: 3, HasID: true}, Broken{}, Placed{Server: "b"}}
-	require.Equal(t, []Action{Send{Resumes: true, After: 3}}, script(twice, 1, nil, events...))
-	require.Empty(t, script(twice, 1, nil, append(events, Opened{})...), "the caller has a head already")
-	require.Empty(t, script(twice, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "it has this event")
-	require.Equal(t, []Action{Forward{}}, script(twice, 1, nil, append(events, Opened{}, Arrived{ID: 4, HasID: true})...))
+	require.Equal(t, []Action{Send{Resumes: true, After: 3}}, lastActions(twoRuns, 1, nil, events...))
+	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{})...), "the caller has a head already")
+	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "it has this event")
+	require.Equal(t, []Action{Forward{}}, lastActions(twoRuns, 1, nil, append(events, Opened{}, Arrived{ID: 4, HasID: true})...))
 	after := int64(7)
-	require.Equal(t, []Action{Send{Resumes: true, After: 7}}, script(twice, 1, &after, Placed{Server: "a"}))
+	require.Equal(t, []Action{Send{Resumes: true, After: 7}}, lastActions(twoRuns, 1, &after, Placed{Server: "a"}))
 }
 
-func TestAFaultyAnswerIsKeptForWantOfABetterOne(t *testing.T) {
+func TestServerErrorIsStashedUntilRetryCompletes(t *testing.T) {
 	events := []Event{Placed{Server: "a"}, Answered{Faulty: true}, Placed{Server: "b"}}
-	require.Contains(t, script(twice, 1, nil, append(events, Broken{})...), Deliver{})
-	require.Contains(t, script(twice, 1, nil, append(events, Expired{})...), Deliver{})
-	require.Equal(t, []Action{Deliver{}}, script(twice, 1, nil, append(events, Answered{})...))
-	require.Equal(t, []Action{Deliver{}}, script(once, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "it may have run")
+	require.Contains(t, lastActions(twoRuns, 1, nil, append(events, Broken{})...), Deliver{})
+	require.Contains(t, lastActions(twoRuns, 1, nil, append(events, Expired{})...), Deliver{})
+	require.Equal(t, []Action{Deliver{}}, lastActions(twoRuns, 1, nil, append(events, Answered{})...))
+	require.Equal(t, []Action{Deliver{}}, lastActions(singleRun, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "it may have run")
 }
 
-func TestAFullFleetIsWaitedForOnlyAWhile(t *testing.T) {
-	rules := Rules{Runs: 1, Sends: 6, PlacementWait: 50 * time.Millisecond, RetryAfter: time.Second}
-	machine := NewMachine(rules, &purse{}, nil)
+func TestPlacementWaitIsBounded(t *testing.T) {
+	rules := Rules{MaxRuns: 1, MaxSends: 6, PlacementWait: 50 * time.Millisecond, RetryAfter: time.Second}
+	machine := NewMachine(rules, &fixedBudget{}, nil)
 	start := time.Unix(0, 0)
 	machine.Start(start)
-	require.Equal(t, []Action{Place{Pause: placementPause}}, machine.Step(start.Add(40*time.Millisecond), Unplaced{}))
+	require.Equal(t, []Action{Place{Delay: placementRetryDelay}}, machine.Step(start.Add(40*time.Millisecond), Unplaced{}))
 	final := machine.Step(start.Add(60*time.Millisecond), Unplaced{})[0].(Fail).Failure
 	require.Equal(t, failure.NotRun, final.Outcome)
 	require.Equal(t, time.Second, final.RetryAfter, "the caller hears when to come back")
--- a/internal/fleet/era_test.go
+++ b/internal/fleet/era_test.go
@@ -15,41 +15,41 @@
 	"github.com/cloverrail/cloverrail/internal/lab/storestub"
 )
 
-// writes counts what is written in each second.
-type writes struct {
+// writeCounter counts the writes in each second.
+type writeCounter struct {
 	*storestub.Store
-	mutex *sync.Mutex
-	each  map[int64]int
+	mutex     *sync.Mutex
+	perSecond map[int64]int
 }
 
-func (w writes) Write(ctx context.Context, key string, value []byte, lease int64) (bool, error) {
+func (w writeCounter) Write(ctx context.Context, key string, value []byte, lease int64) (bool, error) {
 	w.mutex.Lock()
-	w.each[time.Now().Unix()]++
+	w.perSecond[time.Now().Unix()]++
 	w.mutex.Unlock()
 	return w.Store.Write(ctx, key, value, lease)
 }
 
-// The store loses the registrations of all nodes at once. Each is written again within its
-// lease, not all in one second, also where the copy still has a key under a lease that nobody
-// renews; and meanwhile nobody is taken for lost.
-func TestAFleetRegistersAgainAfterTheStoreWentBack(t *testing.T) {
+// A restore of the store loses the registrations of all nodes at once. Each node registers again
+// within the registration TTL, spread over time, even if the backup still has its key under a
+// lease that no node renews. Meanwhile no node counts as lost.
+func TestFleetReregistersAfterStoreRestore(t *testing.T) {
 	for _, nodes := range []int{7, 985} {
 		synctest.Test(t, func(t *testing.T) {
 			store := storestub.New(time.Now, nil)
-			counted := writes{Store: store, mutex: &sync.Mutex{}, each: map[int64]int{}}
+			counter := writeCounter{Store: store, mutex: &sync.Mutex{}, perSecond: map[int64]int{}}
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			var all []*Registry
 			start := func(n int) {
-				eras := &coordination.Eras{}
+				eras := &coordination.EraTracker{}
 				eras.Observe(1)
-				r := &Registry{Store: counted, Prefix: "nodes/", Name: fmt.Sprint("n", n), Life: "1", Address: "a", Zone: "z", Eras: eras, Resized: func(int) {}}
+				r := &Registry{Store: counter, Prefix: "nodes/", Name: fmt.Sprint("n", n), Incarnation: "1", Address: "a", Zone: "z", Eras: eras, OnResize: func(int) {}}
 				all = append(all, r)
 				go r.Run(ctx)
 			}
 			start(0)
 			time.Sleep(time.Second)
-			copied := store.Copy()
+			backup := store.Copy()
 			for n := 1; n < nodes; n++ {
 				start(n)
 			}
@@ -57,25 +57,25 @@
 			require.Len(t, store.Entries("nodes/"), nodes)
 			reader := all[0]
 			reader.ObserveNodes(store.Entries("nodes/"), time.Now())
-			store.GoBack(copied)
-			clear(counted.each)
+			store.GoBack(backup)
+			clear(counter.perSecond)
 			for _, r := range all {
 				r.Eras.Observe(2)
 			}
-			for went := time.Now(); time.Since(went) < registrationLife-time.Second; time.Sleep(100 * time.Millisecond) {
+			for restoredAt := time.Now(); time.Since(restoredAt) < registrationTTL-time.Second; time.Sleep(100 * time.Millisecond) {
 				reader.ObserveNodes(store.Entries("nodes/"), time.Now())
 				require.Equal(t, nodes, reader.Nodes(), "nobody is taken for lost")
 			}
 			require.Len(t, store.Entries("nodes/"), nodes, "each is registered again within its lease")
-			most := 0
-			for _, n := range counted.each {
-				most = max(most, n)
+			peak := 0
+			for _, n := range counter.perSecond {
+				peak = max(peak, n)
 			}
-			require.LessOrEqual(t, most, 3+2*nodes/int((registrationLife/renewals).Seconds()), "they do not come in one second")
-			time.Sleep(2 * registrationLife)
+			require.LessOrEqual(t, peak, 3+2*nodes/int((registrationTTL/renewalsPerTTL).Seconds()), "they do not come in one second")
+			time.Sleep(2 * registrationTTL)
 			require.Len(t, store.Entries("nodes/"), nodes, "and stays so")
-			// Another one: a node counts itself whatever the store says.
-			others := slices.DeleteFunc(store.Entries("nodes/"), func(e coordination.Entry) bool { return e.Key == reader.key() })
+			// Take another node than the reader, which counts itself in any case.
+			others := slices.DeleteFunc(store.Entries("nodes/"), func(e coordination.Entry) bool { return e.Key == reader.registrationKey() })
 			require.Len(t, others, nodes-1)
 			reader.ObserveNodes(others[1:], time.Now())
 			require.Equal(t, nodes-1, reader.Nodes(), "who is lost later is")
@@ -83,11 +83,11 @@
 	}
 }
 
-// The view for nodes that start is written again, though it has not changed.
-func TestTheViewIsPublishedAgainAfterTheStoreWentBack(t *testing.T) {
-	eras, published := &coordination.Eras{}, 0
+// After a restore of the store the view is published again, even if it has not changed.
+func TestViewIsRepublishedAfterStoreRestore(t *testing.T) {
+	eras, published := &coordination.EraTracker{}, 0
 	eras.Observe(1)
-	r := &Registry{Prefix: "nodes/", Name: "n", Address: "a", Zone: "z", Eras: eras, Resized: func(int) {}, Publish: func(context.Context, []byte) error {
+	r := &Registry{Prefix: "nodes/", Name: "n", Address: "a", Zone: "z", Eras: eras, OnResize: func(int) {}, PublishView: func(context.Context, []byte) error {
 		published++
 		return nil
 	}}
@@ -96,12 +96,12 @@
 	r.ObserveNodes(entries, begin)
 	r.ObserveNodes(entries, begin.Add(time.Minute))
 	for range 3 {
-		r.publish(t.Context())
+		r.publishIfChanged(t.Context())
 	}
 	require.Equal(t, 1, published)
 	eras.Observe(2)
 	for range 3 {
-		r.publish(t.Context())
+		r.publishIfChanged(t.Context())
 	}
 	require.Equal(t, 2, published)
 }
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -9,40 +9,40 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// rank orders the nodes that are known, alike on all that see the same fleet.
-func (r *Registry) rank(places map[string]place) {
-	r.places = places
+// updateRanking ranks the known nodes. All nodes that see the same fleet agree on the ranks.
+func (r *Registry) updateRanking(infos map[string]nodeInfo) {
+	r.infos = infos
 	largest := 0.0
-	for _, place := range r.places {
-		largest = max(largest, place.room)
+	for _, nodeInfo := range r.infos {
+		largest = max(largest, nodeInfo.cores)
 	}
-	ranked := make([]ranking, 0, len(places))
-	r.roomy = 0
-	for name, place := range places {
-		one := ranking{name: name, hash: prefix.KeyOf(name), roomy: place.room >= roomyShare*largest}
-		if one.roomy {
-			r.roomy++
+	keys := make([]rankKey, 0, len(infos))
+	r.large = 0
+	for name, nodeInfo := range infos {
+		key := rankKey{name: name, hash: prefix.KeyOf(name), large: nodeInfo.cores >= largeNodeShare*largest}
+		if key.large {
+			r.large++
 		}
-		ranked = append(ranked, one)
+		keys = append(keys, key)
 	}
-	slices.SortFunc(ranked, ranking.compare)
-	r.names = make([]string, len(ranked))
-	for i, one := range ranked {
-		r.names[i] = one.name
+	slices.SortFunc(keys, rankKey.compare)
+	r.ranked = make([]string, len(keys))
+	for i, key := range keys {
+		r.ranked[i] = key.name
 	}
 }
 
-// ranking is what decides on a node's rank.
-type ranking struct {
+// rankKey determines a node's rank.
+type rankKey struct {
 	name  string
 	hash  prefix.Hash
-	roomy bool
+	large bool
 }
 
-// compare orders nodes alike on all: those with room first, and then by hash.
-func (r ranking) compare(other ranking) int {
-	if r.roomy != other.roomy {
-		if r.roomy {
+// compare orders large nodes first, and then by hash.
+func (r rankKey) compare(other rankKey) int {
+	if r.large != other.large {
+		if r.large {
 			return -1
 		}
 		return 1
@@ -50,10 +50,9 @@
 	return cmp.Or(cmp.Compare(r.hash, other.hash), strings.Compare(r.name, other.name))
 }
 
-// Relays returns how many of the first nodes relay to the others what they know.
-// Relays ask each other, and each is followed by its part of the rest: the sum is
-// least at the square root of the fleet. Nodes with room relay alone if they are
-// half as many.
+// Relays returns the number of relays, which are the first nodes by rank. Relays poll each
+// other, and each is polled by its part of the rest: the total is least at the square root of
+// the fleet's size. If large nodes are at least half as many, they are the only relays.
 func (r *Registry) Relays() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -62,105 +61,102 @@
 
 func (r *Registry) relays() int {
 	nodes := r.size()
-	wanted := min(nodes, max(fewestRelays, int(math.Ceil(math.Sqrt(float64(nodes))))))
-	if r.roomy < wanted && 2*r.roomy >= wanted {
-		return r.roomy
+	count := min(nodes, max(minRelays, int(math.Ceil(math.Sqrt(float64(nodes))))))
+	if r.large < count && 2*r.large >= count {
+		return r.large
 	}
-	return wanted
+	return count
 }
 
-// Relaying reports whether this node is a relay.
-func (r *Registry) Relaying() bool {
+// IsRelay reports whether this node is a relay.
+func (r *Registry) IsRelay() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.ownRank < r.relays()
 }
 
-// Reading reports whether this node is one of the few relays that read the store for
-// the fleet.
-func (r *Registry) Reading() bool { return r.Rank() < Readers }
+// IsReader reports whether this node is one of the relays that read the store for the fleet.
+func (r *Registry) IsReader() bool { return r.Rank() < ReaderCount }
 
-// RelayAddresses returns where the relays are reached, those of this node's zone before
-// others. Each node begins with another one of them.
+// RelayAddresses returns the addresses of the relays, those of this node's zone first. Each node
+// starts at another offset in each group, which spreads the load.
 func (r *Registry) RelayAddresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	near, far := []string{}, []string{}
-	for _, name := range r.first(r.relays()) {
-		if place := r.places[name]; place.zone == r.Zone {
-			near = append(near, place.address)
+	local, remote := []string{}, []string{}
+	for _, name := range r.firstNodes(r.relays()) {
+		if nodeInfo := r.infos[name]; nodeInfo.zone == r.Zone {
+			local = append(local, nodeInfo.address)
 		} else {
-			far = append(far, place.address)
+			remote = append(remote, nodeInfo.address)
 		}
 	}
-	turn := r.ownRank
-	if turn >= len(r.names) {
-		// Its rank is not known, and another one's may be the same.
-		turn = int(uint32(prefix.KeyOf(r.Name)))
+	offset := r.ownRank
+	if offset >= len(r.ranked) {
+		// The exact rank is not known, and other nodes would use the same one.
+		offset = int(uint32(prefix.KeyOf(r.Name)))
 	}
-	return append(rotate(near, turn), rotate(far, turn)...)
+	return append(rotate(local, offset), rotate(remote, offset)...)
 }
 
-// ReaderAddresses returns where the readers are reached, in the same order on all nodes:
-// whoever follows the first one hears of a change in the fewest steps.
+// ReaderAddresses returns the addresses of the readers, in the same order on all nodes: a node
+// that polls the first one receives changes over the fewest hops.
 func (r *Registry) ReaderAddresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	addresses := []string{}
-	for _, name := range r.first(Readers) {
-		addresses = append(addresses, r.places[name].address)
+	for _, name := range r.firstNodes(ReaderCount) {
+		addresses = append(addresses, r.infos[name].address)
 	}
 	return addresses
 }
 
-// first returns the names of the first nodes.
-func (r *Registry) first(most int) []string { return r.names[:min(most, len(r.names))] }
+// firstNodes returns the names of the first nodes by rank, up to a limit.
+func (r *Registry) firstNodes(limit int) []string { return r.ranked[:min(limit, len(r.ranked))] }
 
-// Ownership says which of the relays does what one must do for a thing in a zone. Nodes
-// that see the same fleet agree.
+// Ownership assigns each key to one of the relays. Nodes that see the same fleet agree on it.
 type Ownership struct {
 	self string
-	// relays are all relays, and near those of each zone.
+	// relays holds the names of all relays, and byZone those in each zone.
 	relays []string
-	near   map[string][]string
+	byZone map[string][]string
 }
 
-// Ownership returns who does what at the last observation.
+// Ownership returns the assignment at the last observation.
 func (r *Registry) Ownership() Ownership {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	o := Ownership{self: r.Name, relays: r.first(r.relays()), near: map[string][]string{}}
-	for _, name := range o.relays {
-		zone := r.places[name].zone
-		o.near[zone] = append(o.near[zone], name)
+	ownership := Ownership{self: r.Name, relays: r.firstNodes(r.relays()), byZone: map[string][]string{}}
+	for _, name := range ownership.relays {
+		zone := r.infos[name].zone
+		ownership.byZone[zone] = append(ownership.byZone[zone], name)
 	}
-	return o
+	return ownership
 }
 
-// Owns reports whether this node is the one for a thing in a zone: one of that zone if it
-// has any relay.
-func (o Ownership) Owns(thing, zone string) bool {
-	candidates := o.near[zone]
+// Owns reports whether this node owns a key of a zone. The owner is in that zone if the zone has
+// a relay.
+func (o Ownership) Owns(key, zone string) bool {
+	candidates := o.byZone[zone]
 	if len(candidates) == 0 {
 		candidates = o.relays
 	}
-	return prefix.Owner(prefix.KeyOf(thing), candidates) == o.self
+	return prefix.Owner(prefix.KeyOf(key), candidates) == o.self
 }
 
-// Owns is that of the present Ownership.
-func (r *Registry) Owns(thing, zone string) bool { return r.Ownership().Owns(thing, zone) }
+// Owns reports whether this node owns a key of a zone at the last observation.
+func (r *Registry) Owns(key, zone string) bool { return r.Ownership().Owns(key, zone) }
 
-// rotate moves the first elements of a list behind the others.
-func rotate(list []string, by int) []string {
+// rotate returns a list rotated left by an offset.
+func rotate(list []string, offset int) []string {
 	if len(list) == 0 {
 		return list
 	}
-	by %= len(list)
-	return append(slices.Clone(list[by:]), list[:by]...)
+	offset %= len(list)
+	return append(slices.Clone(list[offset:]), list[:offset]...)
 }
 
-// Rank returns this node's place among all, from 0. Nodes that see the same fleet
-// have different ranks.
+// Rank returns this node's rank, from 0. Nodes that see the same fleet have different ranks.
 func (r *Registry) Rank() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -14,50 +14,50 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// place is where a node is reached, and the processor time that it has, in cores.
-type place struct {
+// nodeInfo is what a node registers: its address, its zone and its processor time in cores.
+type nodeInfo struct {
 	address string
 	zone    string
-	room    float64
+	cores   float64
 }
 
-// String is the place as it is registered.
-func (p place) String() string {
-	return strings.Join([]string{p.address, p.zone, strconv.FormatFloat(p.room, 'g', -1, 64)}, " ")
+// String returns the registered form.
+func (info nodeInfo) String() string {
+	return strings.Join([]string{info.address, info.zone, strconv.FormatFloat(info.cores, 'g', -1, 64)}, " ")
 }
 
-// parsePlace reads a registered place. What is missing in it stays empty: a node whose
-// room cannot be read is one without room.
-func parsePlace(text string) place {
-	p := place{}
+// parseNodeInfo parses the registered form. Missing fields stay empty: a node whose processor
+// time cannot be parsed does not count as large.
+func parseNodeInfo(text string) nodeInfo {
+	info := nodeInfo{}
 	address, rest, _ := strings.Cut(text, " ")
-	zone, room, _ := strings.Cut(rest, " ")
-	p.address, p.zone = address, zone
-	if cores, err := strconv.ParseFloat(room, 64); err == nil {
-		p.room = cores
+	zone, cores, _ := strings.Cut(rest, " ")
+	info.address, info.zone = address, zone
+	if parsed, err := strconv.ParseFloat(cores, 64); err == nil {
+		info.cores = parsed
 	}
-	return p
+	return info
 }
 
-// Run keeps this node's key alive, writes it anew if it was lost, and takes it
-// back when the context ends.
+// Run keeps this node registered, registers it again if the registration is lost, and
+// deregisters it when the context ends.
 func (r *Registry) Run(ctx context.Context) {
 	lease := int64(0)
 	for ctx.Err() == nil {
 		lease = r.renew(ctx, lease)
-		r.publish(ctx)
-		r.rest(ctx)
+		r.publishIfChanged(ctx)
+		r.awaitRenewal(ctx)
 	}
-	r.leave(lease)
+	r.deregister(lease)
 }
 
-// rest waits until the registration is to be renewed. After the store has gone back it is to
-// be written again, by all nodes in the same moment: they spread that over the time between two
-// renewals, so that 1,000 nodes write 170 times a second.
-func (r *Registry) rest(ctx context.Context) {
-	changed := r.Eras.Next()
-	if era, _ := r.Eras.State(); era == r.registered || r.registered == 0 {
-		timer := time.NewTimer(registrationLife / renewals)
+// awaitRenewal waits until the registration must be renewed. After a restore of the store all
+// nodes must register again at the same time: they spread this over a renewal interval, so that
+// 1,000 nodes make 170 writes a second.
+func (r *Registry) awaitRenewal(ctx context.Context) {
+	changed := r.Eras.NextChange()
+	if era, _ := r.Eras.State(); era == r.registeredEra || r.registeredEra == 0 {
+		timer := time.NewTimer(registrationTTL / renewalsPerTTL)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -67,56 +67,57 @@
 		case <-changed:
 		}
 	}
-	pause.For(ctx, time.Duration(rand.Int64N(int64(registrationLife/renewals))))
+	pause.For(ctx, time.Duration(rand.Int64N(int64(registrationTTL/renewalsPerTTL))))
 }
 
-func (r *Registry) leave(lease int64) {
+func (r *Registry) deregister(lease int64) {
 	if lease == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	_ = r.Store.End(ctx, lease)
+	_ = r.Store.Revoke(ctx, lease)
 }
 
-// renew returns the lease that keeps the node's key, or 0 if there is none.
+// renew renews the registration or registers the node again, and returns the lease of the
+// registration, or 0 if there is none.
 func (r *Registry) renew(ctx context.Context, lease int64) int64 {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A lease of another era is gone, or somebody else's.
-	if era, _ := r.Eras.State(); lease != 0 && era == r.registered {
+	// A lease of another era is gone, or belongs to another client.
+	if era, _ := r.Eras.State(); lease != 0 && era == r.registeredEra {
 		alive, err := r.Store.Renew(ctx, lease)
 		if err != nil || alive {
 			return lease
 		}
 	}
-	granted, err := r.Store.Grant(ctx, registrationLife)
+	granted, err := r.Store.Grant(ctx, registrationTTL)
 	if err != nil {
 		return 0
 	}
 	era, _ := r.Eras.State()
-	// The key may be there, under a lease of the store's copy that nobody renews.
-	if written, err := r.Store.Write(ctx, r.key(), []byte(r.place().String()), granted.ID); err != nil || !written {
+	// The key may exist already, under a lease from the restored backup that no node renews.
+	if written, err := r.Store.Write(ctx, r.registrationKey(), []byte(r.ownInfo().String()), granted.ID); err != nil || !written {
 		return 0
 	}
-	r.registered = era
+	r.registeredEra = era
 	return granted.ID
 }
 
-// withLost adds to the observed entries those of nodes that were there when the store went back
-// and have not had the time to register again. Were they taken for lost, those that have would
-// take their parts of what the fleet may do.
-func (r *Registry) withLost(entries []coordination.Entry, now time.Time) []coordination.Entry {
-	_, since := r.Eras.State()
-	if since.IsZero() || now.Sub(since) > registrationLife {
+// withUnregistered adds to the observed entries those of nodes that were registered before a
+// restore of the store and may not have registered again yet. If they were taken for lost, the
+// registered nodes would claim their shares of fleet-wide budgets.
+func (r *Registry) withUnregistered(entries []coordination.Entry, now time.Time) []coordination.Entry {
+	_, restoredAt := r.Eras.State()
+	if restoredAt.IsZero() || now.Sub(restoredAt) > registrationTTL {
 		return entries
 	}
 	present := make(map[string]bool, len(entries))
 	for _, entry := range entries {
-		present[r.nameOf(entry.Key)] = true
+		present[r.nodeName(entry.Key)] = true
 	}
 	entries = slices.Clone(entries)
-	for name, entry := range r.entries {
+	for name, entry := range r.lastEntries {
 		if !present[name] {
 			entries = append(entries, entry)
 		}
@@ -124,18 +125,20 @@
 	return entries
 }
 
-// place is this node's own.
-func (r *Registry) place() place { return place{address: r.Address, zone: r.Zone, room: r.Room} }
+// ownInfo returns this node's own info.
+func (r *Registry) ownInfo() nodeInfo {
+	return nodeInfo{address: r.Address, zone: r.Zone, cores: r.Cores}
+}
 
-// nameOf returns the name of the node that a key registers.
-func (r *Registry) nameOf(key string) string {
+// nodeName returns the name of the node that a key registers.
+func (r *Registry) nodeName(key string) string {
 	name, _ := r.parseKey(key)
 	return name
 }
 
-// parseKey returns the name of the node that a key registers, and that of its life. What
-// comes before them in the key only gives it its place among all.
-func (r *Registry) parseKey(key string) (name, life string) {
+// parseKey returns the name and the incarnation of the node that a key registers. The part of
+// the key before them only determines the key order.
+func (r *Registry) parseKey(key string) (name, incarnation string) {
 	parts := strings.Split(strings.TrimPrefix(key, r.Prefix), "/")
 	if len(parts) < 2 {
 		return parts[0], ""
@@ -143,13 +146,14 @@
 	return parts[len(parts)-2], parts[len(parts)-1]
 }
 
-// mostRoom is the processor time, in thousandths of a core, above which nodes are alike in
-// the order of keys.
-const mostRoom = 999_999
+// maxMilliCores is the processor time, in thousandths of a core, above which nodes sort alike
+// in key order.
+const maxMilliCores = 999_999
 
-// key registers this node. In the order of keys those with the most room come first, and
-// among equals a hash decides: the first page of a long list shows who the relays are.
-func (r *Registry) key() string {
-	room := min(mostRoom, int(1000*r.Room))
-	return fmt.Sprintf("%s%06d-%016x/%s/%s", r.Prefix, mostRoom-room, uint64(prefix.KeyOf(r.Name)), r.Name, r.Life)
+// registrationKey returns this node's registration key. In key order, nodes with more processor
+// time come first, and equal ones are ordered by a hash, so that the first page of a long list
+// contains the relays.
+func (r *Registry) registrationKey() string {
+	milliCores := min(maxMilliCores, int(1000*r.Cores))
+	return fmt.Sprintf("%s%06d-%016x/%s/%s", r.Prefix, maxMilliCores-milliCores, uint64(prefix.KeyOf(r.Name)), r.Name, r.Incarnation)
 }
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -1,5 +1,6 @@
-// Package fleet tells a node how many others there are. Each node keeps a key
-// under a lease in the shared store; nobody needs to know all others exactly.
+// Package fleet registers a node in the shared store, under a key with a lease, and derives the
+// size of the fleet and the roles of its first nodes from the registrations. Only the first
+// nodes need to be known by name.
 package fleet
 
 import (
@@ -12,157 +13,158 @@
 )
 
 const (
-	// registrationLife is how long a node that died is still counted. Whoever asks it
-	// meanwhile goes on to the next one within a second; the count is for shares of a
-	// budget, which are smaller for it. Half of it would cost as much again in renewals,
-	// 0.005 of what the requests of 985 nodes are worth.
-	registrationLife = 18 * time.Second
-	// renewals a life gives a node several tries before it is forgotten.
-	renewals    = 3
-	callTimeout = time.Second
-	// gathering is how long nodes wait for each other at the first start, and
-	// longestGathering how long a node waits that cannot register.
-	gathering        = 500 * time.Millisecond
-	longestGathering = 2 * time.Second
-	// Readers is how many nodes read the store for the whole fleet: one, one for when
-	// it is lost, and one more for a store that refuses some machines at that time.
-	Readers = 3
-	// fewestRelays is the size up to which all nodes of a fleet ask each other: fewer
-	// hops make what they know younger, and 90 questions each 150 ms cost little.
-	fewestRelays = 10
-	// viewRelays is how many times as many nodes as there are relays are told of: who comes
-	// next when relays are lost.
-	viewRelays = 2
-	// roomyShare is the share of the largest node's processor time from which a node
-	// counts as one with room.
-	roomyShare = 0.5
+	// registrationTTL is how long a failed node is still counted. Nodes that poll it go on to
+	// another one within a second, and until then the shares of fleet-wide budgets are a
+	// little smaller. Half this TTL would double the cost of renewals, by 0.005 of the value
+	// of the requests of 985 nodes.
+	registrationTTL = 18 * time.Second
+	// renewalsPerTTL gives a node several attempts before its registration expires.
+	renewalsPerTTL = 3
+	callTimeout    = time.Second
+	// bootstrapWait is how long nodes wait for each other when a fleet starts for the first
+	// time, and maxBootstrapWait how long a node waits that cannot register.
+	bootstrapWait    = 500 * time.Millisecond
+	maxBootstrapWait = 2 * time.Second
+	// ReaderCount is the number of nodes that read the store for the whole fleet: one, a
+	// standby, and another one in case the store refuses some machines at that time.
+	ReaderCount = 3
+	// minRelays is the fleet size up to which all nodes poll each other: fewer hops keep the
+	// replicas fresher, and 90 polls per 150 ms cost little.
+	minRelays = 10
+	// viewRelayFactor is the number of nodes in the view per relay: the view also contains
+	// the nodes that follow when relays are lost.
+	viewRelayFactor = 2
+	// largeNodeShare is the share of the largest node's processor time from which a node
+	// counts as large.
+	largeNodeShare = 0.5
 )
 
-// Registry registers this node and counts the others.
+// Registry registers this node and tracks the other nodes.
 type Registry struct {
 	Store coordination.Store
-	// Prefix is that of the nodes' keys.
+	// Prefix is the prefix of the registration keys.
 	Prefix string
 	Name   string
-	// Life names this life of the node's process.
-	Life string
-	// Address is where other nodes reach this one, and Zone where it stands.
+	// Incarnation identifies this process of the node.
+	Incarnation string
+	// Address is where other nodes reach this one, and Zone its availability zone.
 	Address string
 	Zone    string
-	// Room is this node's processor time in cores; 0 says that it is not known.
-	Room float64
-	// Resized hears of the number of nodes after each observation.
-	Resized func(nodes int)
-	// Eras follows the era of the store.
-	Eras *coordination.Eras
-	// Publish, if set, writes the view of the fleet where nodes that start find it.
-	Publish func(ctx context.Context, view []byte) error
+	// Cores is this node's processor time in cores, or 0 if it is not known.
+	Cores float64
+	// OnResize is called with the number of nodes after each observation.
+	OnResize func(nodes int)
+	// Eras tracks the era of the store.
+	Eras *coordination.EraTracker
+	// PublishView, if set, writes the view of the fleet to where starting nodes read it.
+	PublishView func(ctx context.Context, view []byte) error
 
 	mutex sync.Mutex
-	// names holds the nodes that are known, those with room first and each kind in the
-	// order of a hash, which spreads the first ones over the zones; places holds where they
-	// are reached. They are all nodes, or the first ones alone.
-	names  []string
-	places map[string]place
-	// nodes is how many nodes there are, or 0 if that is not known, and roomy how many of
-	// them have room. ownRank is this node's place among all.
-	nodes   int
-	roomy   int
-	ownRank int
-	// begun is when the fleet was first observed; settled, that the places in it
-	// may be relied on.
-	begun   time.Time
-	settled bool
-	seen    map[string]sighting
-	// entries holds those of all nodes as they were observed last, and registered the era in
-	// which this node's own was written.
-	entries    map[string]coordination.Entry
-	registered int64
-	duties     []coordination.Entry
-	// view is what other nodes are told of the fleet, and digest is its own.
+	// ranked holds the names of the known nodes in rank order: the large ones first, and each
+	// kind ordered by a hash, which spreads the first ranks over the zones. infos holds what
+	// is registered for them. Both contain all nodes or only the first ones.
+	ranked []string
+	infos  map[string]nodeInfo
+	// reportedNodes is the number of nodes, or 0 if it is not known, and large the number of
+	// large ones. ownRank is this node's rank.
+	reportedNodes int
+	large         int
+	ownRank       int
+	// firstObservedAt is when the fleet was first observed. bootstrapped reports that ranks
+	// are reliable.
+	firstObservedAt time.Time
+	bootstrapped    bool
+	// sightings holds the leader-election keys of the last observation, and duties their
+	// entries.
+	sightings map[string]keySighting
+	// lastEntries holds the registrations at the last observation, by name, and registeredEra
+	// the era in which this node's own one was written.
+	lastEntries   map[string]coordination.Entry
+	registeredEra int64
+	duties        []coordination.Entry
+	// view is the view of the fleet that other nodes receive, and digest the view's digest.
 	view   View
 	digest uint64
-	// published is the digest of the view that this node has written last, and publishedIn the
-	// era of the store in which that was.
-	published   uint64
-	publishedIn int64
+	// publishedDigest is the digest of the view that this node published last, and
+	// publishedEra the era of the store in which it did so.
+	publishedDigest uint64
+	publishedEra    int64
 }
 
-// sighting is when a key was first seen where it was written.
-type sighting struct {
+// keySighting is when a key was first observed at its position.
+type keySighting struct {
 	position coordination.Position
 	at       time.Time
 }
 
-// ObserveNodes takes the entries of all nodes as they were read at a time.
+// ObserveNodes applies the registrations of all nodes, as they were read at a time.
 func (r *Registry) ObserveNodes(entries []coordination.Entry, now time.Time) {
 	r.observe(entries, now, false)
 }
 
-// ObserveOldNodes takes the entries of all nodes as they may have been seconds before. They
-// settle the place of a node that has started again, and of no other.
-func (r *Registry) ObserveOldNodes(entries []coordination.Entry, now time.Time) {
+// ObserveStaleNodes applies the registrations of all nodes as they may have been seconds
+// earlier. They complete the bootstrap of a restarted node only.
+func (r *Registry) ObserveStaleNodes(entries []coordination.Entry, now time.Time) {
 	r.observe(entries, now, true)
 }
 
-func (r *Registry) observe(entries []coordination.Entry, now time.Time, old bool) {
+func (r *Registry) observe(entries []coordination.Entry, now time.Time, stale bool) {
 	r.mutex.Lock()
-	entries = r.withLost(entries, now)
+	entries = r.withUnregistered(entries, now)
 	r.mutex.Unlock()
-	places := make(map[string]place, len(entries)+1)
+	infos := make(map[string]nodeInfo, len(entries)+1)
 	byName := make(map[string]coordination.Entry, len(entries))
 	for _, entry := range entries {
-		name := r.nameOf(entry.Key)
-		places[name], byName[name] = parsePlace(string(entry.Value)), entry
+		name := r.nodeName(entry.Key)
+		infos[name], byName[name] = parseNodeInfo(string(entry.Value)), entry
 	}
-	// An entry of an earlier life of this node may tell of another place.
-	places[r.Name] = r.place()
+	// A registration by an earlier incarnation of this node may have another address.
+	infos[r.Name] = r.ownInfo()
 	r.mutex.Lock()
-	if r.begun.IsZero() {
-		r.begun = now
+	if r.firstObservedAt.IsZero() {
+		r.firstObservedAt = now
 	}
-	if !old || r.fromBefore(entries) {
-		r.settle(entries, now)
+	if !stale || r.hasEarlierIncarnation(entries) {
+		r.updateBootstrapped(entries, now)
 	}
-	r.rank(places)
-	r.nodes = len(r.names)
-	r.ownRank = slices.Index(r.names, r.Name)
-	r.look(byName)
-	r.entries = byName
-	if old {
-		// Others are not told what may be old.
+	r.updateRanking(infos)
+	r.reportedNodes = len(r.ranked)
+	r.ownRank = slices.Index(r.ranked, r.Name)
+	r.updateView(byName)
+	r.lastEntries = byName
+	if stale {
+		// Stale data is not passed on to other nodes.
 		r.view, r.digest = View{}, 0
 	}
-	nodes := r.nodes
+	nodes := r.reportedNodes
 	r.mutex.Unlock()
-	r.Resized(nodes)
+	r.OnResize(nodes)
 }
 
-// rankOf returns a node's place among all; who is not among the known first ones comes
-// after them.
+// rankOf returns a node's rank. A node that is not among the known first ones ranks after them.
 func (r *Registry) rankOf(name string) int {
-	if at := slices.Index(r.names, name); at >= 0 {
+	if at := slices.Index(r.ranked, name); at >= 0 {
 		return at
 	}
-	return max(len(r.names), r.nodes-1)
+	return max(len(r.ranked), r.reportedNodes-1)
 }
 
-// ObserveDuties notes the keys under which nodes hold duties.
+// ObserveDuties applies the leader-election entries.
 func (r *Registry) ObserveDuties(entries []coordination.Entry, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	seen := map[string]sighting{}
+	sightings := map[string]keySighting{}
 	for _, entry := range entries {
-		known := r.seen[entry.Key]
-		if known.position != entry.Position() {
-			known = sighting{position: entry.Position(), at: now}
+		sighting := r.sightings[entry.Key]
+		if sighting.position != entry.Position() {
+			sighting = keySighting{position: entry.Position(), at: now}
 		}
-		seen[entry.Key] = known
+		sightings[entry.Key] = sighting
 	}
-	r.seen, r.duties = seen, entries
+	r.sightings, r.duties = sightings, entries
 }
 
-// Duties returns the entries of the last observation of duties, for ObserveDuties on
+// Duties returns the leader-election entries of the last observation, for ObserveDuties on
 // another node.
 func (r *Registry) Duties() []coordination.Entry {
 	r.mutex.Lock()
@@ -170,65 +172,66 @@
 	return r.duties
 }
 
-// settle decides whether the places in the fleet may be relied on. When all nodes
-// start for the first time, the first ones see only few: they wait for the rest.
-// A node that finds itself registered in a life before need not.
-func (r *Registry) settle(entries []coordination.Entry, now time.Time) {
-	if r.settled {
+// updateBootstrapped decides whether ranks are reliable. When all nodes start for the first
+// time, the first ones see only a few registrations and wait for the rest. A node that finds a
+// registration by its earlier incarnation need not wait.
+func (r *Registry) updateBootstrapped(entries []coordination.Entry, now time.Time) {
+	if r.bootstrapped {
 		return
 	}
-	own := slices.ContainsFunc(entries, func(entry coordination.Entry) bool { return r.nameOf(entry.Key) == r.Name })
-	waited := now.Sub(r.begun)
-	r.settled = own && (r.fromBefore(entries) || waited >= gathering) || waited >= longestGathering
+	registered := slices.ContainsFunc(entries, func(entry coordination.Entry) bool { return r.nodeName(entry.Key) == r.Name })
+	waited := now.Sub(r.firstObservedAt)
+	r.bootstrapped = registered && (r.hasEarlierIncarnation(entries) || waited >= bootstrapWait) || waited >= maxBootstrapWait
 }
 
-// fromBefore reports whether an entry of this node is not of this life.
-func (r *Registry) fromBefore(entries []coordination.Entry) bool {
+// hasEarlierIncarnation reports whether the entries contain a registration by an earlier
+// incarnation of this node.
+func (r *Registry) hasEarlierIncarnation(entries []coordination.Entry) bool {
 	return slices.ContainsFunc(entries, func(entry coordination.Entry) bool {
-		name, life := r.parseKey(entry.Key)
-		return name == r.Name && life != r.Life
+		name, incarnation := r.parseKey(entry.Key)
+		return name == r.Name && incarnation != r.Incarnation
 	})
 }
 
-// Settled reports whether the places in the fleet may be relied on.
-func (r *Registry) Settled() bool {
+// Bootstrapped reports whether ranks are reliable.
+func (r *Registry) Bootstrapped() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.settled
+	return r.bootstrapped
 }
 
-// Exists reports whether the last observation showed a key.
+// Exists reports whether the last observation contained a leader-election key.
 func (r *Registry) Exists(key string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, found := r.seen[key]
+	_, found := r.sightings[key]
 	return found
 }
 
-// Nodes returns the number of nodes at the last observation, at least as many as are known
-// by name.
+// Nodes returns the number of nodes at the last observation, which is at least the number of
+// nodes known by name.
 func (r *Registry) Nodes() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.size()
 }
 
-func (r *Registry) size() int { return max(1, len(r.names), r.nodes) }
+func (r *Registry) size() int { return max(1, len(r.ranked), r.reportedNodes) }
 
-// Outer reports whether this node knows relays to ask, and is none of those that may come
-// to relay.
-func (r *Registry) Outer() bool {
+// OutsideView reports whether this node ranks after all nodes of the view: it has relays to
+// poll, and won't become one soon.
+func (r *Registry) OutsideView() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.ownRank >= viewRelays*r.relays()
+	return r.ownRank >= viewRelayFactor*r.relays()
 }
 
-// FirstSeen returns when a key was first seen where it was written, or zero.
+// FirstSeen returns when a key was first observed at a position, or zero.
 func (r *Registry) FirstSeen(key string, position coordination.Position) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if known := r.seen[key]; known.position == position {
-		return known.at
+	if sighting := r.sightings[key]; sighting.position == position {
+		return sighting.at
 	}
 	return time.Time{}
 }
