--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -14,7 +14,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/storestub"
 )
 
-func TestNodesCountEachOtherThroughOutagesAndDeaths(t *testing.T) {
+func TestNodeCountSurvivesOutagesAndNodeLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := atomic.Bool{}
 		store := storestub.New(time.Now, func(string) storestub.Fault {
@@ -25,27 +25,27 @@
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		registry := func(ctx context.Context, name string) *Registry {
-			registry := &Registry{Store: store, Prefix: "f/nodes/", Name: name, Life: "1", Resized: func(int) {}}
+			registry := &Registry{Store: store, Prefix: "f/nodes/", Name: name, Incarnation: "1", OnResize: func(int) {}}
 			go registry.Run(ctx)
 			return registry
 		}
-		one := registry(ctx, "a")
-		dying, kill := context.WithCancel(ctx)
-		registry(dying, "b")
+		observer := registry(ctx, "a")
+		failingCtx, kill := context.WithCancel(ctx)
+		registry(failingCtx, "b")
 		registry(ctx, "c")
 		count := func() int {
-			one.ObserveNodes(store.Entries("f/nodes/"), time.Now())
-			return one.Nodes()
+			observer.ObserveNodes(store.Entries("f/nodes/"), time.Now())
+			return observer.Nodes()
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, 3, count())
 		down.Store(true)
-		time.Sleep(3 * registrationLife)
+		time.Sleep(3 * registrationTTL)
 		down.Store(false)
-		time.Sleep(registrationLife)
+		time.Sleep(registrationTTL)
 		require.Equal(t, 3, count(), "registered anew after an outage that outlasted the leases")
 		kill()
-		time.Sleep(registrationLife)
+		time.Sleep(registrationTTL)
 		require.Equal(t, 2, count())
 		stop()
 		synctest.Wait()
@@ -54,8 +54,8 @@
 	})
 }
 
-func TestAKeyIsDatedByItsRevision(t *testing.T) {
-	registry := &Registry{Prefix: "f/nodes/", Resized: func(int) {}}
+func TestFirstSeenMatchesKeyPosition(t *testing.T) {
+	registry := &Registry{Prefix: "f/nodes/", OnResize: func(int) {}}
 	begin := time.Unix(1000, 0)
 	entry := coordination.Entry{Key: "f/state", Revision: 4}
 	registry.ObserveDuties([]coordination.Entry{entry}, begin)
@@ -68,28 +68,28 @@
 	require.False(t, registry.Exists("f/state"))
 }
 
-func TestPlacesAreReliedOnOnceTheFleetHasGathered(t *testing.T) {
+func TestBootstrapWaitsForOtherNodes(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	own := coordination.Entry{Key: "f/nodes/b/2", Value: []byte("10.0.0.2:1")}
 	other := coordination.Entry{Key: "f/nodes/a/1", Value: []byte("10.0.0.1:1")}
 	newNode := func() *Registry {
-		return &Registry{Prefix: "f/nodes/", Name: "b", Life: "2", Address: "10.0.0.2:1", Resized: func(int) {}}
+		return &Registry{Prefix: "f/nodes/", Name: "b", Incarnation: "2", Address: "10.0.0.2:1", OnResize: func(int) {}}
 	}
 	first := newNode()
 	first.ObserveNodes([]coordination.Entry{own}, begin)
-	require.False(t, first.Settled(), "others may be about to register")
-	first.ObserveNodes([]coordination.Entry{other, own}, begin.Add(gathering))
-	require.True(t, first.Settled())
-	again := newNode()
-	again.ObserveNodes([]coordination.Entry{other, {Key: "f/nodes/b/1"}}, begin)
-	require.True(t, again.Settled(), "the fleet is there already")
-	alone := newNode()
-	alone.ObserveNodes(nil, begin)
-	alone.ObserveNodes(nil, begin.Add(longestGathering))
-	require.True(t, alone.Settled(), "it cannot register, and must serve all the same")
+	require.False(t, first.Bootstrapped(), "others may be about to register")
+	first.ObserveNodes([]coordination.Entry{other, own}, begin.Add(bootstrapWait))
+	require.True(t, first.Bootstrapped())
+	restarted := newNode()
+	restarted.ObserveNodes([]coordination.Entry{other, {Key: "f/nodes/b/1"}}, begin)
+	require.True(t, restarted.Bootstrapped(), "the fleet is there already")
+	unregistered := newNode()
+	unregistered.ObserveNodes(nil, begin)
+	unregistered.ObserveNodes(nil, begin.Add(maxBootstrapWait))
+	require.True(t, unregistered.Bootstrapped(), "it cannot register, and must serve all the same")
 }
 
-func TestTheFirstNodesAreTheSameForAllAndNearOnesComeFirst(t *testing.T) {
+func TestRelaysAgreeAcrossNodesAndLocalZoneComesFirst(t *testing.T) {
 	entries := []coordination.Entry{}
 	names := []string{}
 	for number := range 30 {
@@ -99,45 +99,45 @@
 		entries = append(entries, coordination.Entry{Key: "f/nodes/" + name + "/1", Value: []byte("addr-" + name + " " + zone)})
 	}
 	ranks := map[int]bool{}
-	first := map[string]bool{}
-	begins := map[string]bool{}
+	relays := map[string]bool{}
+	preferred := map[string]bool{}
 	for index, name := range names {
 		zone := string(rune('a' + index%3))
-		registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: zone, Address: "addr-" + name, Resized: func(int) {}}
+		registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: zone, Address: "addr-" + name, OnResize: func(int) {}}
 		registry.ObserveNodes(entries, time.Unix(1000, 0))
 		ranks[registry.Rank()] = true
 		addresses := registry.RelayAddresses()
-		require.Len(t, addresses, fewestRelays)
+		require.Len(t, addresses, minRelays)
 		require.Contains(t, addresses[0], "-"+zone+"-", "every zone has one of the first")
-		begins[addresses[0]] = true
+		preferred[addresses[0]] = true
 		for _, address := range addresses {
-			first[address] = true
+			relays[address] = true
 		}
 	}
-	require.Greater(t, len(begins), 3, "nodes of one zone begin with different ones")
+	require.Greater(t, len(preferred), 3, "nodes of one zone begin with different ones")
 	require.Len(t, ranks, 30, "every node has its own rank")
-	require.Len(t, first, fewestRelays, "all agree on the first")
+	require.Len(t, relays, minRelays, "all agree on the first")
 }
 
-func TestOneNodeOwnsAThingAndItStandsInItsZoneIfAnyDoes(t *testing.T) {
+func TestKeyHasOneOwnerInItsZone(t *testing.T) {
 	entries := []coordination.Entry{}
 	for number := range 30 {
 		zone := string(rune('a' + number%3))
 		entries = append(entries, coordination.Entry{Key: fmt.Sprint("f/nodes/node-", zone, "-", number, "/1"), Value: []byte(fmt.Sprint("addr-", number, " ", zone))})
 	}
 	owners := map[string]bool{}
-	for thing := range 20 {
+	for key := range 20 {
 		for _, zone := range []string{"a", "b", "c", "elsewhere"} {
 			found := []string{}
 			for number := range 30 {
-				own := string(rune('a' + number%3))
-				name := fmt.Sprint("node-", own, "-", number)
-				registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: own, Resized: func(int) {}}
+				nodeZone := string(rune('a' + number%3))
+				name := fmt.Sprint("node-", nodeZone, "-", number)
+				registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: nodeZone, OnResize: func(int) {}}
 				registry.ObserveNodes(entries, time.Unix(1000, 0))
-				if registry.Owns(fmt.Sprint("thing-", thing), zone) {
+				if registry.Owns(fmt.Sprint("thing-", key), zone) {
 					found = append(found, name)
-					require.True(t, registry.Relaying())
-					require.True(t, own == zone || zone == "elsewhere")
+					require.True(t, registry.IsRelay())
+					require.True(t, nodeZone == zone || zone == "elsewhere")
 				}
 			}
 			require.Len(t, found, 1)
@@ -147,35 +147,35 @@
 	require.Greater(t, len(owners), 6, "things are spread over the first nodes")
 }
 
-func TestNodesWithRoomRelayIfThereAreEnough(t *testing.T) {
+func TestLargeNodesRelayWhenSufficient(t *testing.T) {
 	relaysOf := func(small, large int) (relays, largeRelays int) {
 		entries := []coordination.Entry{}
-		room := map[string]float64{}
+		coresOf := map[string]float64{}
 		for number := range small + large {
 			name := fmt.Sprint("node-", number)
-			room[name] = 0.2
+			coresOf[name] = 0.2
 			if number >= small {
-				room[name] = 0.8
+				coresOf[name] = 0.8
 			}
-			own := place{address: name, zone: "a", room: room[name]}
+			own := nodeInfo{address: name, zone: "a", cores: coresOf[name]}
 			entries = append(entries, coordination.Entry{Key: "f/nodes/" + name + "/1", Value: []byte(own.String())})
 		}
-		for name, cores := range room {
-			registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: "a", Address: name, Room: cores, Resized: func(int) {}}
+		for name, cores := range coresOf {
+			registry := &Registry{Prefix: "f/nodes/", Name: name, Zone: "a", Address: name, Cores: cores, OnResize: func(int) {}}
 			registry.ObserveNodes(entries, time.Unix(1000, 0))
-			if registry.Relaying() {
+			if registry.IsRelay() {
 				relays++
 				if cores == 0.8 {
 					largeRelays++
 				}
 			}
-			require.LessOrEqual(t, Readers, registry.Relays())
+			require.LessOrEqual(t, ReaderCount, registry.Relays())
 		}
 		return relays, largeRelays
 	}
 	for _, fleet := range []struct{ small, large, relays, largeRelays int }{
 		{7, 0, 7, 0},
-		{24, 0, fewestRelays, 0},
+		{24, 0, minRelays, 0},
 		{280, 15, 15, 15},
 		{280, 40, 18, 18},
 		{280, 4, 17, 4},
@@ -186,27 +186,27 @@
 	}
 }
 
-func TestAPlaceIsReadAsItWasRegistered(t *testing.T) {
-	own := place{address: "10.0.0.1:7340", zone: "a", room: 0.192}
-	require.Equal(t, own, parsePlace(own.String()))
-	require.Equal(t, place{address: "10.0.0.1:7340", zone: "a"}, parsePlace("10.0.0.1:7340 a"), "an earlier version told no room")
-	require.Equal(t, place{}, parsePlace(""))
-	require.Equal(t, place{address: "x", zone: "a"}, parsePlace("x a much"))
+func TestNodeInfoRoundTrip(t *testing.T) {
+	info := nodeInfo{address: "10.0.0.1:7340", zone: "a", cores: 0.192}
+	require.Equal(t, info, parseNodeInfo(info.String()))
+	require.Equal(t, nodeInfo{address: "10.0.0.1:7340", zone: "a"}, parseNodeInfo("10.0.0.1:7340 a"), "an earlier version told no room")
+	require.Equal(t, nodeInfo{}, parseNodeInfo(""))
+	require.Equal(t, nodeInfo{address: "x", zone: "a"}, parseNodeInfo("x a much"))
 }
 
-// The time in which a fleet gathers counts from the first reading, even if that was old, and
-// an old one settles only who started again.
-func TestAnOldReadingBeginsTheGathering(t *testing.T) {
+// The bootstrap wait counts from the first read, even a stale one. A stale read completes the
+// bootstrap of a restarted node only.
+func TestStaleReadStartsBootstrapWait(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	node := newMember("b", "z", 0.2)
-	entries := []coordination.Entry{{Key: node.key(), Value: []byte("at-b z 0.2")}, {Key: "f/nodes/a/1", Value: []byte("at-a z")}}
-	node.ObserveOldNodes(nil, begin)
-	node.ObserveOldNodes(entries, begin.Add(gathering))
-	require.False(t, node.Settled(), "others may have registered since")
-	node.ObserveNodes(entries, begin.Add(gathering))
-	require.True(t, node.Settled())
-	again := newMember("b", "z", 0.2)
-	again.Life = "2"
-	again.ObserveOldNodes(entries, begin)
-	require.True(t, again.Settled())
+	node := newTestRegistry("b", "z", 0.2)
+	entries := []coordination.Entry{{Key: node.registrationKey(), Value: []byte("at-b z 0.2")}, {Key: "f/nodes/a/1", Value: []byte("at-a z")}}
+	node.ObserveStaleNodes(nil, begin)
+	node.ObserveStaleNodes(entries, begin.Add(bootstrapWait))
+	require.False(t, node.Bootstrapped(), "others may have registered since")
+	node.ObserveNodes(entries, begin.Add(bootstrapWait))
+	require.True(t, node.Bootstrapped())
+	restarted := newTestRegistry("b", "z", 0.2)
+	restarted.Incarnation = "2"
+	restarted.ObserveStaleNodes(entries, begin)
+	require.True(t, restarted.Bootstrapped())
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -13,24 +13,24 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// View is what nodes tell each other of the fleet. Only its first nodes are asked by others,
-// so that nobody needs to know all.
+// View is the description of the fleet that nodes send each other. Only the first nodes by rank
+// are polled by others, so that no node needs the full list.
 type View struct {
-	// Nodes is how many nodes there are, and Roomy how many of them have room.
+	// Nodes is the number of nodes, and Roomy the number of large ones.
 	Nodes int
 	Roomy int
-	// First holds the entries of the first nodes, in the order of their ranks.
+	// First holds the registrations of the first nodes, in rank order.
 	First []coordination.Entry
 }
 
-// whole reports whether the view holds all nodes.
-func (v View) whole() bool { return v.Nodes > 0 && len(v.First) >= v.Nodes }
+// complete reports whether the view contains all nodes.
+func (v View) complete() bool { return v.Nodes > 0 && len(v.First) >= v.Nodes }
 
-// look makes the view of all nodes that others are told. A node that is not registered
-// itself is not in it.
-func (r *Registry) look(entries map[string]coordination.Entry) {
-	r.view = View{Nodes: len(entries), Roomy: r.roomy}
-	for _, name := range r.first(viewRelays * r.relays()) {
+// updateView builds the view that other nodes receive from a full list. A node that is not
+// registered is not in it.
+func (r *Registry) updateView(entries map[string]coordination.Entry) {
+	r.view = View{Nodes: len(entries), Roomy: r.large}
+	for _, name := range r.firstNodes(viewRelayFactor * r.relays()) {
 		if entry, registered := entries[name]; registered {
 			r.view.First = append(r.view.First, entry)
 		}
@@ -38,15 +38,15 @@
 	r.digest = r.view.digest()
 }
 
-// publish writes the view of the fleet for nodes that start, if this is the first node and
-// the view has changed, or the store may have lost it. What cannot be written is tried again
-// with the next renewal.
-func (r *Registry) publish(ctx context.Context) {
+// publishIfChanged publishes the view for starting nodes, if this is the node of rank 0 and the
+// view has changed or a restored store may have lost it. A failed write is retried with the
+// next renewal.
+func (r *Registry) publishIfChanged(ctx context.Context) {
 	era, _ := r.Eras.State()
 	r.mutex.Lock()
 	view, digest := r.view, r.digest
-	news := digest != r.published || era != r.publishedIn
-	due := r.settled && r.ownRank == 0 && view.Nodes > 0 && news && r.Publish != nil
+	changed := digest != r.publishedDigest || era != r.publishedEra
+	due := r.bootstrapped && r.ownRank == 0 && view.Nodes > 0 && changed && r.PublishView != nil
 	r.mutex.Unlock()
 	if !due {
 		return
@@ -54,19 +54,19 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	encoded := bytes.Buffer{}
-	if gob.NewEncoder(&encoded).Encode(view) != nil || r.Publish(ctx, encoded.Bytes()) != nil {
-		// Publish tells of its failure, and a view can be encoded.
+	if gob.NewEncoder(&encoded).Encode(view) != nil || r.PublishView(ctx, encoded.Bytes()) != nil {
+		// PublishView reports its own failure, and encoding a view does not fail.
 		return
 	}
 	r.mutex.Lock()
-	r.published, r.publishedIn = digest, era
+	r.publishedDigest, r.publishedEra = digest, era
 	r.mutex.Unlock()
 }
 
-// ObservePublished takes a view that a first node has published at some time. A node that
-// finds itself among its relays relies on that; all others find whom to ask. A view that
-// cannot be read changes nothing.
-func (r *Registry) ObservePublished(encoded []byte, now time.Time) error {
+// ObservePublishedView applies a view that the node of rank 0 published at some time. A node
+// that finds itself among its relays relies on its rank; all others learn which nodes to poll. A
+// view that cannot be decoded is ignored.
+func (r *Registry) ObservePublishedView(encoded []byte, now time.Time) error {
 	var view View
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&view); err != nil {
 		return errors.Annotate(err, "the view of the fleet cannot be read; run the same version on all nodes")
@@ -76,93 +76,93 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.settled {
+	if r.bootstrapped {
 		return nil
 	}
-	if r.begun.IsZero() {
-		r.begun = now
+	if r.firstObservedAt.IsZero() {
+		r.firstObservedAt = now
 	}
-	r.follow(view)
-	r.settled = r.ownRank < r.relays()
+	r.applyView(view)
+	r.bootstrapped = r.ownRank < r.relays()
 	return nil
 }
 
-// ObserveFirst takes the first entries of a list of nodes that goes on. They stand in the
-// order of their keys, in which those with the most room come first. They do not show how
-// many nodes there are; a node that finds itself among the first relays of so many can rely
-// on that.
-func (r *Registry) ObserveFirst(entries []coordination.Entry, now time.Time) {
+// ObserveFirstPage applies the first page of the list of registrations. It is in key order, in
+// which nodes with more processor time come first. It does not show the number of nodes; a node
+// that finds itself among the relays of a fleet of the page's size can rely on being a relay.
+func (r *Registry) ObserveFirstPage(entries []coordination.Entry, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	places := make(map[string]place, len(entries))
+	infos := make(map[string]nodeInfo, len(entries))
 	for _, entry := range entries {
-		places[r.nameOf(entry.Key)] = parsePlace(string(entry.Value))
+		infos[r.nodeName(entry.Key)] = parseNodeInfo(string(entry.Value))
 	}
-	if !r.settled {
-		// What it saw before was a part of the fleet, too.
-		r.nodes, r.view, r.digest = 0, View{}, 0
+	if !r.bootstrapped {
+		// Earlier observations were partial too.
+		r.reportedNodes, r.view, r.digest = 0, View{}, 0
 	}
-	r.rank(places)
+	r.updateRanking(infos)
 	r.ownRank = r.rankOf(r.Name)
-	if r.begun.IsZero() {
-		r.begun = now
+	if r.firstObservedAt.IsZero() {
+		r.firstObservedAt = now
 	}
-	r.settled = r.settled || r.ownRank < r.relays() || now.Sub(r.begun) >= longestGathering
+	r.bootstrapped = r.bootstrapped || r.ownRank < r.relays() || now.Sub(r.firstObservedAt) >= maxBootstrapWait
 }
 
-// ObserveView takes what another node told of the fleet: a view, or nil if it is the one
-// that this node has, and how many nodes there are. It reports whether that node knew.
+// ObserveView applies what another node sent: a view, or nil if this node has the same one, and
+// the number of nodes, or 0 if the other node does not know it. It reports whether that node
+// knew.
 func (r *Registry) ObserveView(view *View, nodes int) bool {
 	switch {
 	case nodes == 0:
 		return false
 	case view == nil:
-		r.count(nodes)
-	case view.whole():
+		r.updateNodeCount(nodes)
+	case view.complete():
 		r.ObserveNodes(view.First, boottime.Now())
 	default:
-		r.adopt(*view)
+		r.replaceView(*view)
 	}
 	return true
 }
 
-// count takes how many nodes there are, if others know more of them than this node.
-func (r *Registry) count(nodes int) {
+// updateNodeCount applies the number of nodes, unless this node knows all nodes by name.
+func (r *Registry) updateNodeCount(nodes int) {
 	r.mutex.Lock()
-	changed := !r.view.whole() && r.nodes != nodes
+	changed := !r.view.complete() && r.reportedNodes != nodes
 	if changed {
-		r.nodes = nodes
+		r.reportedNodes = nodes
 	}
 	r.mutex.Unlock()
 	if changed {
-		r.Resized(nodes)
+		r.OnResize(nodes)
 	}
 }
 
-// adopt takes another node's view of a fleet that is larger than it.
-func (r *Registry) adopt(view View) {
+// replaceView adopts another node's view, which does not contain the whole fleet.
+func (r *Registry) replaceView(view View) {
 	r.mutex.Lock()
-	r.follow(view)
-	r.settled = true
+	r.applyView(view)
+	r.bootstrapped = true
 	r.view, r.digest = view, view.digest()
 	r.mutex.Unlock()
-	r.Resized(view.Nodes)
+	r.OnResize(view.Nodes)
 }
 
-// follow takes the ranks and the places of a view.
-func (r *Registry) follow(view View) {
-	names := make([]string, 0, len(view.First))
-	places := make(map[string]place, len(view.First))
+// applyView takes over the ranks and infos of a view.
+func (r *Registry) applyView(view View) {
+	ranked := make([]string, 0, len(view.First))
+	infos := make(map[string]nodeInfo, len(view.First))
 	for _, entry := range view.First {
-		name := r.nameOf(entry.Key)
-		names = append(names, name)
-		places[name] = parsePlace(string(entry.Value))
+		name := r.nodeName(entry.Key)
+		ranked = append(ranked, name)
+		infos[name] = parseNodeInfo(string(entry.Value))
 	}
-	r.names, r.places, r.nodes, r.roomy = names, places, view.Nodes, view.Roomy
+	r.ranked, r.infos, r.reportedNodes, r.large = ranked, infos, view.Nodes, view.Roomy
 	r.ownRank = r.rankOf(r.Name)
 }
 
-// digest returns a number that tells two views apart.
+// digest returns a hash of the view.
 func (v View) digest() uint64 {
 	digest := uint64(len(v.First)) + uint64(v.Roomy)<<32
 	for _, entry := range v.First {
@@ -171,24 +171,24 @@
 	return digest
 }
 
-// Digest tells the view that this node has apart from others.
-func (r *Registry) Digest() uint64 {
+// ViewDigest returns the digest of this node's view.
+func (r *Registry) ViewDigest() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.digest
 }
 
-// NewerThan returns this node's view if its digest is another one, for ObserveView on
-// another node, and how many nodes there are. It returns 0 if this node does not know.
-func (r *Registry) NewerThan(digest uint64) (view *View, nodes int) {
+// ViewIfChanged returns this node's view if it has another digest than the given one, and the
+// number of nodes, or 0 if this node does not know it, for ObserveView on another node.
+func (r *Registry) ViewIfChanged(digest uint64) (view *View, nodes int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.view.Nodes == 0 {
 		return nil, 0
 	}
 	own := r.view
-	if !own.whole() {
-		own.Nodes = r.nodes
+	if !own.complete() {
+		own.Nodes = r.reportedNodes
 	}
 	if r.digest == digest {
 		return nil, own.Nodes
--- a/internal/keepalive/client.go
+++ b/internal/keepalive/client.go
@@ -1,10 +1,10 @@
-// Package keepalive sends HTTP requests on connections that are kept open between
-// requests, without ever sending one again of which a byte may have left.
+// Package keepalive sends HTTP requests on persistent connections, and never
+// resends a request of which a byte may have been sent.
 //
-// A server closes a connection that has rested for a time, maybe at the very
-// moment in which the next request is written: then nobody can tell whether it
-// ran. So the client learns each server's time, uses a connection only well
-// inside it, and closes what has rested longer.
+// A server closes a connection that has been idle for some time, possibly just as
+// the next request is written; then it is unknown whether the request ran. The
+// client therefore learns each server's idle timeout, reuses a connection only well
+// within it, and closes connections that have been idle for longer.
 package keepalive
 
 import (
@@ -21,55 +21,55 @@
 )
 
 const (
-	// idlePerServer is how many resting connections one server may have from here.
-	idlePerServer = 4
-	// crossing is kept free at the end of a server's time for the request's way
-	// to it.
-	crossing = 200 * time.Millisecond
-	// onceShare is the share of a server's time after which a connection is not
-	// used any more for what must not run twice.
-	onceShare = 0.6
-	// mostServers bounds the servers that are remembered. Above it, all are forgotten.
-	mostServers = 8192
-	// maximumTries bounds the connections that are tried for one request.
-	maximumTries = idlePerServer + 2
+	// maxIdlePerServer bounds the idle connections to one server.
+	maxIdlePerServer = 4
+	// transitMargin is left before the end of a server's idle timeout for the request to reach the
+	// server.
+	transitMargin = 200 * time.Millisecond
+	// onceFraction is the fraction of a server's idle timeout after which a connection is no longer
+	// reused for requests that must not run twice.
+	onceFraction = 0.6
+	// maxServers bounds the servers that are remembered. When it is reached, all are forgotten.
+	maxServers = 8192
+	// maxAttempts bounds the connections that are tried for one request.
+	maxAttempts = maxIdlePerServer + 2
 )
 
-// ErrUnsent says that a connection failed before a byte of the request had left.
+// ErrUnsent reports that a connection failed before any byte of the request was sent.
 var ErrUnsent = errors.New("no byte of the request was sent")
 
-// Options are the parts of a client.
+// Options configures a Client.
 type Options struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// BufferSize is that of a connection's reader and of its writer, in bytes.
+	// BufferSize is the size of each connection's read and write buffers in bytes.
 	BufferSize int
-	// Used, if set, hears for each request whether its connection was kept. It must
-	// not block.
-	Used func(kept bool)
+	// OnConnection, if set, is called for each request with whether it reused a connection. It
+	// must not block.
+	OnConnection func(kept bool)
 }
 
-// Client sends requests. It is safe for concurrent use.
+// Client sends requests on persistent connections. It is safe for concurrent use.
 type Client struct {
-	used   func(kept bool)
-	client *http.Client
+	onConnection func(kept bool)
+	client       *http.Client
 
-	mutex sync.Mutex
-	lives map[string]*Life
+	mutex        sync.Mutex
+	idleTimeouts map[string]*IdleTimeout
 }
 
 // New returns a client without connections.
 func New(options Options) *Client {
-	c := &Client{used: options.Used, lives: map[string]*Life{}}
+	c := &Client{onConnection: options.OnConnection, idleTimeouts: map[string]*IdleTimeout{}}
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			plain, err := options.Dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: plain, closed: func(rested time.Duration) { c.closed(address, rested) }}, nil
+			return &conn{Conn: plain, serverClosed: func(rested time.Duration) { c.serverClosed(address, rested) }}, nil
 		},
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerServer,
+		MaxIdleConnsPerHost: maxIdlePerServer,
 		ReadBufferSize:      options.BufferSize,
 		WriteBufferSize:     options.BufferSize,
 	}
@@ -80,32 +80,31 @@
 	return c
 }
 
-// Do sends the request that build returns. Build is called again if a connection
-// turned out to be closed before a byte of the request had left; the library must
-// not send a request again by itself, so its body must not be one that can be read
-// twice. Once says that the request must not run twice.
+// Do sends the request that build returns. It calls build again if a connection turned out to be
+// closed before any byte of the request was sent. The body must not be replayable, so that
+// net/http does not resend a request by itself. Once says that the request must not run twice.
 //
-// An error that is ErrUnsent, or that of a dial, promises that nothing was sent.
+// ErrUnsent and dial errors guarantee that nothing was sent.
 func (c *Client) Do(build func() *http.Request, once bool) (*http.Response, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		request := build()
-		u := &use{client: c, address: request.URL.Host, once: once, fresh: once && replayable(request)}
-		traced := httptrace.WithClientTrace(request.Context(), &httptrace.ClientTrace{GotConn: u.begin, PutIdleConn: u.end})
+		u := &use{client: c, address: request.URL.Host, once: once, needsNew: once && replayable(request)}
+		traced := httptrace.WithClientTrace(request.Context(), &httptrace.ClientTrace{GotConn: u.acquire, PutIdleConn: u.finish})
 		response, err := c.client.Do(request.WithContext(traced))
 		switch {
 		case err == nil:
-			c.heard(u.address, response.Header.Get("Keep-Alive"))
+			c.observeHeader(u.address, response.Header.Get("Keep-Alive"))
 			return response, nil
 		case !u.unsent() || request.Context().Err() != nil:
 			return nil, err
-		case try == maximumTries:
+		case attempt == maxAttempts:
 			return nil, errors.Annotate(ErrUnsent, err.Error())
 		}
 	}
 }
 
-// replayable reports whether the library would send the request again by itself
-// if a kept connection broke under it.
+// replayable reports whether net/http would resend the request by itself if a reused connection
+// failed.
 func replayable(request *http.Request) bool {
 	if request.Body != nil && request.Body != http.NoBody {
 		return request.GetBody != nil
@@ -122,81 +121,81 @@
 	client  *Client
 	address string
 	once    bool
-	// fresh says that only a new connection will do.
-	fresh bool
+	// needsNew says that the request must not reuse a connection.
+	needsNew bool
 
 	mutex  sync.Mutex
 	conn   *conn
 	number int
 }
 
-func (u *use) begin(got httptrace.GotConnInfo) {
+func (u *use) acquire(got httptrace.GotConnInfo) {
 	taken, known := got.Conn.(*conn)
 	if !known {
 		return
 	}
-	number := taken.begin(u.client.limit(u.address, u.once), u.fresh && got.Reused)
-	if u.client.used != nil {
-		u.client.used(got.Reused)
+	number := taken.acquire(u.client.maxIdle(u.address, u.once), u.needsNew && got.Reused)
+	if u.client.onConnection != nil {
+		u.client.onConnection(got.Reused)
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.conn, u.number = taken, number
 }
 
-// end hears that the connection rests now, or that it was given up.
-func (u *use) end(err error) {
+// finish marks the connection as idle, unless err says that it was not returned to the pool.
+func (u *use) finish(err error) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if err == nil && u.conn != nil {
-		u.conn.rest(u.number, u.client.limit(u.address, false))
+		u.conn.release(u.number, u.client.maxIdle(u.address, false))
 	}
 }
 
-// unsent reports whether a connection was there and no byte has left on it.
+// unsent reports whether the request got a connection and no byte was sent on it.
 func (u *use) unsent() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.conn != nil && u.conn.unsent()
 }
 
-// life returns what is known of a server.
-func (c *Client) life(address string) *Life {
-	known := c.lives[address]
-	if known == nil {
-		if len(c.lives) >= mostServers {
-			clear(c.lives)
+// timeoutOf returns the estimator of a server's idle timeout. The caller holds the mutex.
+func (c *Client) timeoutOf(address string) *IdleTimeout {
+	timeout := c.idleTimeouts[address]
+	if timeout == nil {
+		if len(c.idleTimeouts) >= maxServers {
+			clear(c.idleTimeouts)
 		}
-		known = &Life{}
-		c.lives[address] = known
+		timeout = &IdleTimeout{}
+		c.idleTimeouts[address] = timeout
 	}
-	return known
+	return timeout
 }
 
-// limit is how long a connection may have rested to be used.
-func (c *Client) limit(address string, once bool) time.Duration {
+// maxIdle returns how long a connection may have been idle to be reused.
+func (c *Client) maxIdle(address string, once bool) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	life := c.life(address).At(boottime.Now())
-	limit := max(life/2, life-crossing)
+	timeout := c.timeoutOf(address).Estimate(boottime.Now())
+	limit := max(timeout/2, timeout-transitMargin)
 	if once {
-		limit = min(limit, time.Duration(onceShare*float64(life)))
+		limit = min(limit, time.Duration(onceFraction*float64(timeout)))
 	}
 	return limit
 }
 
-func (c *Client) heard(address, header string) {
-	told := ToldLife(header)
-	if told == 0 {
+func (c *Client) observeHeader(address, header string) {
+	advertised := ParseKeepAlive(header)
+	if advertised == 0 {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.life(address).Told(told)
+	c.timeoutOf(address).SetAdvertised(advertised)
 }
 
-func (c *Client) closed(address string, rested time.Duration) {
+func (c *Client) serverClosed(address string, idle time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.life(address).Closed(rested, boottime.Now())
+	c.timeoutOf(address).ObserveClose(idle, boottime.Now())
 }
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -21,18 +21,17 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// server serves connections over pipes. It closes one that has rested for its
-// idle life, and breaks some off.
+// server serves connections over pipes. It closes idle ones after its idle timeout, and aborts
+// some.
 type server struct {
-	idle   time.Duration
-	header string
-	// breaks says for each request in turn whether its connection ends before the
-	// answer.
-	breaks func() bool
+	idleTimeout time.Duration
+	header      string
+	// fails reports for each request in turn whether its connection is closed before the response.
+	fails func() bool
 
 	mutex sync.Mutex
-	// got counts the requests of each id.
-	got map[string]int
+	// requests counts the requests by id.
+	requests map[string]int
 	// dials counts the connections.
 	dials int
 }
@@ -50,13 +49,13 @@
 	defer far.Close()
 	reader := bufio.NewReader(far)
 	for {
-		_ = far.SetReadDeadline(time.Now().Add(s.idle))
+		_ = far.SetReadDeadline(time.Now().Add(s.idleTimeout))
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		if s.note(request.Header.Get("Id")) {
+		if s.record(request.Header.Get("Id")) {
 			return
 		}
 		text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
@@ -69,14 +68,14 @@
 	}
 }
 
-func (s *server) note(id string) bool {
+func (s *server) record(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.got[id]++
-	return s.breaks != nil && s.breaks()
+	s.requests[id]++
+	return s.fails != nil && s.fails()
 }
 
-// send sends one request, reads its answer, and reports how it ended.
+// send sends one request and reads its response.
 func send(c *Client, method, id, body string, header http.Header, once bool) error {
 	response, err := c.Do(func() *http.Request {
 		request := &http.Request{
@@ -99,12 +98,12 @@
 	}
 	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
-	// The connection comes to rest after the body's end.
+	// The connection becomes idle after the end of the body.
 	synctest.Wait()
 	return err
 }
 
-func TestNoRequestIsSentTwiceWhateverConnectionsDo(outer *testing.T) {
+func TestOnceRequestIsNeverSentTwice(outer *testing.T) {
 	property.Check(outer, func(t *rapid.T) {
 		idle := time.Duration(rapid.IntRange(50, 3000).Draw(t, "idle")) * time.Millisecond
 		header := rapid.SampledFrom([]string{"", "timeout=1", "timeout=3", "timeout=60", "timeout=x"}).Draw(t, "header")
@@ -112,11 +111,11 @@
 		methods := rapid.SliceOfN(rapid.SampledFrom([]string{http.MethodPost, http.MethodGet}), 20, 20).Draw(t, "methods")
 		bodies := rapid.SliceOfN(rapid.SampledFrom([]string{"", "body"}), 20, 20).Draw(t, "bodies")
 		keyed := rapid.SliceOfN(rapid.Bool(), 20, 20).Draw(t, "keyed")
-		rests := rapid.SliceOfN(rapid.IntRange(0, 4000), 20, 20).Draw(t, "rests")
+		idleTimes := rapid.SliceOfN(rapid.IntRange(0, 4000), 20, 20).Draw(t, "rests")
 		var wrong []string
 		synctest.Test(outer, func(*testing.T) {
-			turn := 0
-			s := &server{idle: idle, header: header, got: map[string]int{}, breaks: func() bool { turn++; return broken[turn%20] }}
+			next := 0
+			s := &server{idleTimeout: idle, header: header, requests: map[string]int{}, fails: func() bool { next++; return broken[next%20] }}
 			c := New(Options{Dial: s.dial})
 			for i := range 20 {
 				id := fmt.Sprint("r", i)
@@ -126,13 +125,13 @@
 				}
 				err := send(c, methods[i], id, bodies[i], extra, true)
 				s.mutex.Lock()
-				count := s.got[id]
+				count := s.requests[id]
 				s.mutex.Unlock()
 				switch {
 				case count > 1, err == nil && count != 1, errors.Is(err, ErrUnsent) && count != 0:
 					wrong = append(wrong, fmt.Sprintf("%s %s was sent %d times, error %v", methods[i], id, count, err))
 				}
-				time.Sleep(time.Duration(rests[i]) * time.Millisecond)
+				time.Sleep(time.Duration(idleTimes[i]) * time.Millisecond)
 			}
 			c.client.CloseIdleConnections()
 			time.Sleep(time.Minute)
@@ -141,17 +140,17 @@
 	})
 }
 
-func TestConnectionsAreKeptInsideTheServersTimeOnly(t *testing.T) {
+func TestConnectionsAreReusedOnlyWithinIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &server{idle: 3 * time.Second, header: "timeout=3", got: map[string]int{}}
-		kept := []bool{}
-		c := New(Options{Dial: s.dial, Used: func(k bool) { kept = append(kept, k) }})
-		for i, rest := range []time.Duration{0, 100 * time.Millisecond, 2500 * time.Millisecond, 2900 * time.Millisecond, time.Second} {
-			time.Sleep(rest)
+		s := &server{idleTimeout: 3 * time.Second, header: "timeout=3", requests: map[string]int{}}
+		reused := []bool{}
+		c := New(Options{Dial: s.dial, OnConnection: func(k bool) { reused = append(reused, k) }})
+		for i, idle := range []time.Duration{0, 100 * time.Millisecond, 2500 * time.Millisecond, 2900 * time.Millisecond, time.Second} {
+			time.Sleep(idle)
 			require.NoError(t, send(c, http.MethodPost, fmt.Sprint(i), "b", nil, false))
 		}
-		require.Equal(t, []bool{false, true, true, false, true}, kept)
-		// What must not run twice wants more of the time to be left.
+		require.Equal(t, []bool{false, true, true, false, true}, reused)
+		// A request that must not run twice requires a larger margin.
 		time.Sleep(2500 * time.Millisecond)
 		require.NoError(t, send(c, http.MethodPost, "once", "b", nil, true))
 		require.Equal(t, 3, s.dials)
@@ -159,46 +158,46 @@
 	})
 }
 
-func TestAServerThatClosesEarlyIsLearned(t *testing.T) {
+func TestEarlyCloseShortensIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &server{idle: 300 * time.Millisecond, header: "timeout=5", got: map[string]int{}}
+		s := &server{idleTimeout: 300 * time.Millisecond, header: "timeout=5", requests: map[string]int{}}
 		c := New(Options{Dial: s.dial})
 		for i := range 5 {
 			require.NoError(t, send(c, http.MethodPost, fmt.Sprint(i), "b", nil, false))
 			time.Sleep(time.Second)
 		}
-		require.Equal(t, 300*time.Millisecond, c.life("server:1").At(time.Now()))
+		require.Equal(t, 300*time.Millisecond, c.timeoutOf("server:1").Estimate(time.Now()))
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestTheEstimateConvergesForgetsAndIsNotMovedByOneLiar(t *testing.T) {
+func TestEstimateUsesMedianOfRecentClosings(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		told := time.Duration(rapid.IntRange(1, 50).Draw(t, "told")) * time.Second
-		truth := time.Duration(rapid.IntRange(1, 5000).Draw(t, "truth")) * time.Millisecond
-		var l Life
-		require.Equal(t, assumedLife, l.At(now))
-		l.Told(told)
-		require.Equal(t, told, l.At(now))
-		l.Closed(time.Millisecond, now)
-		require.Equal(t, told, l.At(now), "one closing says nothing")
-		for range mostClosings {
+		advertised := time.Duration(rapid.IntRange(1, 50).Draw(t, "told")) * time.Second
+		actual := time.Duration(rapid.IntRange(1, 5000).Draw(t, "truth")) * time.Millisecond
+		var timeout IdleTimeout
+		require.Equal(t, defaultIdleTimeout, timeout.Estimate(now))
+		timeout.SetAdvertised(advertised)
+		require.Equal(t, advertised, timeout.Estimate(now))
+		timeout.ObserveClose(time.Millisecond, now)
+		require.Equal(t, advertised, timeout.Estimate(now), "one closing says nothing")
+		for range maxClosings {
 			now = now.Add(time.Second)
-			l.Closed(truth, now)
+			timeout.ObserveClose(actual, now)
 		}
-		require.Equal(t, min(told, truth), l.At(now))
-		l.Closed(time.Duration(rapid.IntRange(0, 100_000).Draw(t, "lie"))*time.Millisecond, now)
-		require.Equal(t, min(told, truth), l.At(now))
-		require.Equal(t, told, l.At(now.Add(closingLife)))
+		require.Equal(t, min(advertised, actual), timeout.Estimate(now))
+		timeout.ObserveClose(time.Duration(rapid.IntRange(0, 100_000).Draw(t, "lie"))*time.Millisecond, now)
+		require.Equal(t, min(advertised, actual), timeout.Estimate(now))
+		require.Equal(t, advertised, timeout.Estimate(now.Add(closingTTL)))
 	})
 }
 
-func TestTheServersWordIsRead(t *testing.T) {
-	for header, life := range map[string]time.Duration{
+func TestParseKeepAlive(t *testing.T) {
+	for header, timeout := range map[string]time.Duration{
 		"timeout=5, max=100": 5 * time.Second, "max=3, Timeout = 2": 2 * time.Second,
 		"": 0, "timeout=-1": 0, "timeout=nan": 0, "max=9": 0, "timeout=1e300": 0,
 	} {
-		require.Equal(t, life, ToldLife(header), header)
+		require.Equal(t, timeout, ParseKeepAlive(header), header)
 	}
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -146,10 +146,10 @@
 	for index := range pools {
 		pool := &pools[index]
 		pool.Engines = append([]configuration.Backend(nil), pool.Engines...)
-		if pool.KeptCache != nil {
-			store := *pool.KeptCache
+		if pool.PrefixStore != nil {
+			store := *pool.PrefixStore
 			store.Address = address.Free()
-			pool.KeptCache = &store
+			pool.PrefixStore = &store
 			backend := &Backend{Name: store.Name, Address: store.Address}
 			cluster.Stores = append(cluster.Stores, backend)
 			var err error
--- a/internal/lab/experiment/simulation.go
+++ b/internal/lab/experiment/simulation.go
@@ -156,7 +156,7 @@
 	}
 	chosen := run.policy.choose(request.node, &message, candidates)
 	run.expected[request.node].Add(run.clock(), prefixindex.NewHolder(candidates[chosen].Endpoint, candidates[chosen].Epoch), request.chain)
-	missing, _ := routing.Missing(&message, &candidates[chosen])
+	missing, _ := routing.MissingTokens(&message, &candidates[chosen])
 	table.Begin(candidates[chosen].Endpoint, missing, run.clock())
 	travelling := &flight{arrival: request, node: request.node, engine: run.engines[chosen]}
 	run.at(run.now+run.profile.OneWay, func() { run.submit(travelling) })
--- a/internal/lab/inprocess/fleet.go
+++ b/internal/lab/inprocess/fleet.go
@@ -162,7 +162,7 @@
 	fleet.Weights = weightstub.New(200*time.Millisecond, loadsAtOnce)
 	weights := fleet.serve(fleet.Weights)
 	fleet.Kept = keptstub.New(10_000)
-	pool.KeptCache = &configuration.KeptCache{Name: "kept", Address: fleet.serve(fleet.Kept), Zone: "b", TokensPerSecond: 200_000}
+	pool.PrefixStore = &configuration.PrefixStore{Name: "kept", Address: fleet.serve(fleet.Kept), Zone: "b", TokensPerSecond: 200_000}
 	for index := range config.Engines {
 		engine := enginestub.New(enginestub.Config{Model: model, BlockBytes: BlockBytes, Weights: map[string]string{Model: Version, "secret": Version}, WeightStore: weights})
 		fleet.Engines = append(fleet.Engines, engine)
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -137,7 +137,7 @@
 	err = store.run("grant", func() {
 		store.revision++
 		store.leases[store.revision] = &lease{life: life, until: store.now().Add(life)}
-		granted = coordination.Lease{ID: store.revision, Life: life}
+		granted = coordination.Lease{ID: store.revision, TTL: life}
 	})
 	return granted, err
 }
@@ -154,7 +154,7 @@
 }
 
 // End gives a lease back.
-func (store *Store) End(_ context.Context, id int64) error {
+func (store *Store) Revoke(_ context.Context, id int64) error {
 	return store.run("end", func() { store.drop(id) })
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,256 +20,256 @@
 )
 
 const (
-	life     = 1500 * time.Millisecond
-	settling = 3 * time.Second
+	ttl           = 1500 * time.Millisecond
+	handoverDelay = 3 * time.Second
 )
 
-// act is one order of a holder.
-type act struct {
+// action is one action of a leader.
+type action struct {
 	node  string
-	fence int64
+	token int64
 	at    time.Time
 }
 
-// duty always has work until it is told otherwise, and notes its orders.
-type duty struct {
-	node   string
-	wanted atomic.Bool
-	// refused is a fencing token for which servers refuse orders.
-	refused atomic.Int64
-	fleet   *fleet
+// task has work until hasWork is cleared, and records its actions.
+type task struct {
+	node    string
+	hasWork atomic.Bool
+	// rejectedToken is a fencing token that servers reject.
+	rejectedToken atomic.Int64
+	fleet         *fleet
 }
 
-func (duty *duty) Wanted() bool { return duty.wanted.Load() }
-func (duty *duty) Step() ([]byte, func(context.Context, *Tenure)) {
+func (task *task) HasWork() bool { return task.hasWork.Load() }
+func (task *task) Step() ([]byte, func(context.Context, *Leadership)) {
 	state := "idle"
-	if duty.Wanted() {
+	if task.HasWork() {
 		state = "active"
 	}
-	return []byte(state + " " + duty.node), func(_ context.Context, tenure *Tenure) {
-		if duty.Wanted() && tenure.MayAct(time.Now()) {
-			if duty.refused.Load() == tenure.Fence {
-				tenure.Supersede()
+	return []byte(state + " " + task.node), func(_ context.Context, leadership *Leadership) {
+		if task.HasWork() && leadership.MayAct(time.Now()) {
+			if task.rejectedToken.Load() == leadership.FencingToken {
+				leadership.Supersede()
 			}
-			duty.fleet.note(act{node: duty.node, fence: tenure.Fence, at: time.Now()})
+			task.fleet.record(action{node: task.node, token: leadership.FencingToken, at: time.Now()})
 		}
 	}
 }
-func (duty *duty) Resting(state []byte) bool { return strings.HasPrefix(string(state), "idle") }
-func (duty *duty) Own(state []byte) bool     { return strings.HasSuffix(string(state), " "+duty.node) }
-func (duty *duty) Lost()                     {}
+func (task *task) Idle(state []byte) bool     { return strings.HasPrefix(string(state), "idle") }
+func (task *task) OwnState(state []byte) bool { return strings.HasSuffix(string(state), " "+task.node) }
+func (task *task) LeadershipLost()            {}
 
-type silent struct{}
+type nopRecorder struct{}
 
-func (silent) Acquired(int64, time.Duration) {}
-func (silent) Released(int64, string)        {}
+func (nopRecorder) Acquired(int64, time.Duration) {}
+func (nopRecorder) Released(int64, string)        {}
 
-// fleet runs keepers over one store in virtual time.
+// fleet runs electors on one store in virtual time.
 type fleet struct {
-	store *storestub.Store
-	mutex sync.Mutex
-	acts  []act
+	store   *storestub.Store
+	mutex   sync.Mutex
+	actions []action
 }
 
-func (fleet *fleet) note(act act) {
+func (fleet *fleet) record(action action) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.acts = append(fleet.acts, act)
+	fleet.actions = append(fleet.actions, action)
 }
 
-// last returns the latest order.
-func (fleet *fleet) last() act {
+// last returns the latest action.
+func (fleet *fleet) last() action {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	return fleet.acts[len(fleet.acts)-1]
+	return fleet.actions[len(fleet.actions)-1]
 }
 
-// telling is a store whose answers tell its era.
-type telling struct {
+// eraObservingStore is a store whose responses update an era tracker.
+type eraObservingStore struct {
 	*storestub.Store
-	eras *coordination.Eras
+	eras *coordination.EraTracker
 }
 
-func (s telling) Grant(ctx context.Context, life time.Duration) (coordination.Lease, error) {
+func (s eraObservingStore) Grant(ctx context.Context, ttl time.Duration) (coordination.Lease, error) {
 	defer func() { s.eras.Observe(s.Era()) }()
-	return s.Store.Grant(ctx, life)
+	return s.Store.Grant(ctx, ttl)
 }
 
-func (s telling) Renew(ctx context.Context, id int64) (bool, error) {
+func (s eraObservingStore) Renew(ctx context.Context, id int64) (bool, error) {
 	defer func() { s.eras.Observe(s.Era()) }()
 	return s.Store.Renew(ctx, id)
 }
 
-func (s telling) Create(ctx context.Context, key string, value []byte, lease int64) (coordination.Position, bool, error) {
+func (s eraObservingStore) Create(ctx context.Context, key string, value []byte, lease int64) (coordination.Position, bool, error) {
 	defer func() { s.eras.Observe(s.Era()) }()
 	return s.Store.Create(ctx, key, value, lease)
 }
 
-func (s telling) WriteGuarded(ctx context.Context, key string, value []byte, guard string, at coordination.Position) (bool, error) {
+func (s eraObservingStore) WriteGuarded(ctx context.Context, key string, value []byte, guard string, at coordination.Position) (bool, error) {
 	defer func() { s.eras.Observe(s.Era()) }()
 	return s.Store.WriteGuarded(ctx, key, value, guard, at)
 }
 
-func (s telling) Read(ctx context.Context, key string) (coordination.Entry, bool, error) {
+func (s eraObservingStore) Read(ctx context.Context, key string) (coordination.Entry, bool, error) {
 	defer func() { s.eras.Observe(s.Era()) }()
 	return s.Store.Read(ctx, key)
 }
 
-// start runs a keeper until its context ends.
-func (fleet *fleet) start(ctx context.Context, name string, seen map[int64]time.Time) *duty {
-	return fleet.startWith(ctx, name, seen, func(s coordination.Store) coordination.Store { return s })
+// start runs an elector until its context ends.
+func (fleet *fleet) start(ctx context.Context, name string, firstSeen map[int64]time.Time) *task {
+	return fleet.startWithStore(ctx, name, firstSeen, func(s coordination.Store) coordination.Store { return s })
 }
 
-// startWith runs a keeper with another way to the store.
-func (fleet *fleet) startWith(ctx context.Context, name string, seen map[int64]time.Time, way func(coordination.Store) coordination.Store) *duty {
-	duty := &duty{node: name, fleet: fleet}
-	duty.wanted.Store(true)
-	// As a node that runs does, it knows the era.
-	eras := &coordination.Eras{}
+// startWithStore runs an elector with a wrapped store.
+func (fleet *fleet) startWithStore(ctx context.Context, name string, firstSeen map[int64]time.Time, wrap func(coordination.Store) coordination.Store) *task {
+	task := &task{node: name, fleet: fleet}
+	task.hasWork.Store(true)
+	// A running node already knows the era.
+	eras := &coordination.EraTracker{}
 	eras.Observe(fleet.store.Era())
-	keeper := &Keeper{
-		Store: way(telling{fleet.store, eras}), Eras: eras, Duty: duty, Recorder: silent{}, Name: name, Key: "holder", KeyState: "state",
-		Life: life, Settling: settling,
-		Delay:     func() time.Duration { return time.Duration(name[0]%7) * time.Millisecond },
-		Eligible:  func() bool { return true },
-		Exists:    func(string) bool { return len(fleet.store.Entries("holder")) > 0 },
-		FirstSeen: func(_ string, position coordination.Position) time.Time { return seen[position.Revision] },
+	elector := &Elector{
+		Store: wrap(eraObservingStore{fleet.store, eras}), Eras: eras, Task: task, Recorder: nopRecorder{}, Name: name, Key: "holder", StateKey: "state",
+		TTL: ttl, HandoverDelay: handoverDelay,
+		CampaignDelay: func() time.Duration { return time.Duration(name[0]%7) * time.Millisecond },
+		Eligible:      func() bool { return true },
+		Exists:        func(string) bool { return len(fleet.store.Entries("holder")) > 0 },
+		FirstSeen:     func(_ string, position coordination.Position) time.Time { return firstSeen[position.Revision] },
 	}
-	go keeper.Run(ctx)
-	return duty
+	go elector.Run(ctx)
+	return task
 }
 
-// check holds the orders against the promise: fences only grow, and two holders
-// are never closer than the settling time.
-func (fleet *fleet) check(t require.TestingT) {
+// checkActions checks the guarantees: fencing tokens only grow, and the actions of two leaders
+// are at least the handover delay apart.
+func (fleet *fleet) checkActions(t require.TestingT) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	for index := 1; index < len(fleet.acts); index++ {
-		before, after := fleet.acts[index-1], fleet.acts[index]
-		require.GreaterOrEqual(t, after.fence, before.fence)
+	for index := 1; index < len(fleet.actions); index++ {
+		before, after := fleet.actions[index-1], fleet.actions[index]
+		require.GreaterOrEqual(t, after.token, before.token)
 		if before.node != after.node {
-			require.Greater(t, after.fence, before.fence, "no two holders have one token")
-			require.GreaterOrEqual(t, after.at.Sub(before.at), settling)
+			require.Greater(t, after.token, before.token, "no two holders have one token")
+			require.GreaterOrEqual(t, after.at.Sub(before.at), handoverDelay)
 		}
 	}
 }
 
-func TestHoldersNeverOrderWithinTheSettlingTime(test *testing.T) {
+func TestLeadersActHandoverDelayApart(test *testing.T) {
 	property.Check(test, func(t *rapid.T) {
-		harm := rapid.SliceOfN(rapid.SampledFrom([]storestub.Fault{
+		faults := rapid.SliceOfN(rapid.SampledFrom([]storestub.Fault{
 			storestub.None, storestub.None, storestub.None, storestub.Refused, storestub.Lost,
 		}), 40, 40).Draw(t, "faults")
 		deaths := rapid.SliceOfN(rapid.IntRange(500, 6000), 3, 3).Draw(t, "deaths")
 		fleet := &fleet{}
-		synctest.Test(test, func(*testing.T) { fleet.play(harm, deaths) })
-		fleet.check(t)
-		require.NotEmpty(t, fleet.acts)
+		synctest.Test(test, func(*testing.T) { fleet.runWithFaults(faults, deaths) })
+		fleet.checkActions(t)
+		require.NotEmpty(t, fleet.actions)
 		require.Equal(t, "survivor", fleet.last().node, "the duty is taken over")
 	})
 }
 
-// play lets three nodes die one by one beside one that survives. The store's
-// first calls fail as harm says.
-func (fleet *fleet) play(harm []storestub.Fault, deaths []int) {
+// runWithFaults stops three nodes one by one beside one that survives. The store's first
+// calls fail according to faults.
+func (fleet *fleet) runWithFaults(faults []storestub.Fault, deaths []int) {
 	calls := 0
 	fleet.store = storestub.New(time.Now, func(string) storestub.Fault {
 		calls++
-		if calls < len(harm) {
-			return harm[calls]
+		if calls < len(faults) {
+			return faults[calls]
 		}
 		return storestub.None
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	for number, after := range deaths {
-		one, kill := context.WithCancel(ctx)
-		fleet.start(one, string(rune('a'+number)), nil)
+		nodeCtx, kill := context.WithCancel(ctx)
+		fleet.start(nodeCtx, string(rune('a'+number)), nil)
 		time.AfterFunc(time.Duration(after)*time.Millisecond, kill)
 	}
 	fleet.start(ctx, "survivor", nil)
 	time.Sleep(40 * time.Second)
 }
 
-// The store comes back from copies that are some seconds old, while holders die, and in moments
-// in which it has a holder, none, or another one. Tokens still grow, no two holders have one,
-// nobody orders within the settling time of another, and somebody orders again in time.
-func TestHoldersOutliveAStoreThatGoesBack(test *testing.T) {
+// The store is restored from backups that are some seconds old, while leaders fail, and at
+// times at which the backup has the same leader, none or another one. Tokens still grow and are
+// unique, actions of two leaders stay the handover delay apart, and a leader acts again in time.
+func TestLeadersActHandoverDelayApartAcrossStoreRestores(test *testing.T) {
 	property.Check(test, func(t *rapid.T) {
 		deaths := rapid.SliceOfN(rapid.IntRange(500, 30_000), 2, 2).Draw(t, "deaths")
-		// Each time: the copy's age, and the time until then.
+		// For each restore: the time until it, and the age of the backup.
 		times := rapid.SliceOfN(rapid.IntRange(200, 8000), 1, 6).Draw(t, "times")
 		ages := rapid.SliceOfN(rapid.IntRange(0, 5000), len(times), len(times)).Draw(t, "ages")
 		fleet := &fleet{}
-		// quiet is the last time at which the store went back or a holder died.
-		quiet := time.Time{}
+		// lastFaultAt is the time of the last restore or node failure.
+		lastFaultAt := time.Time{}
 		synctest.Test(test, func(*testing.T) {
 			fleet.store = storestub.New(time.Now, nil)
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			begun := time.Now()
+			startedAt := time.Now()
 			for number, after := range deaths {
-				one, kill := context.WithCancel(ctx)
-				fleet.start(one, string(rune('a'+number)), nil)
+				nodeCtx, kill := context.WithCancel(ctx)
+				fleet.start(nodeCtx, string(rune('a'+number)), nil)
 				time.AfterFunc(time.Duration(after)*time.Millisecond, kill)
 			}
 			fleet.start(ctx, "survivor", nil)
 			for i, wait := range times {
 				age := min(ages[i], wait)
 				time.Sleep(time.Duration(wait-age) * time.Millisecond)
-				copied := fleet.store.Copy()
+				backup := fleet.store.Copy()
 				time.Sleep(time.Duration(age) * time.Millisecond)
-				fleet.store.GoBack(copied)
+				fleet.store.GoBack(backup)
 			}
-			quiet = time.Now()
-			if last := begun.Add(time.Duration(slices.Max(deaths)) * time.Millisecond); last.After(quiet) {
-				quiet = last
+			lastFaultAt = time.Now()
+			if last := startedAt.Add(time.Duration(slices.Max(deaths)) * time.Millisecond); last.After(lastFaultAt) {
+				lastFaultAt = last
 			}
 			time.Sleep(80 * time.Second)
 		})
-		fleet.check(t)
+		fleet.checkActions(t)
 		require.Equal(t, "survivor", fleet.last().node)
-		first := slices.IndexFunc(fleet.acts, func(a act) bool { return a.at.After(quiet) })
-		// The copy's lease has to lapse, the next holder to settle.
-		require.Less(t, fleet.acts[first].at.Sub(quiet), 2*life+settling+time.Second)
+		first := slices.IndexFunc(fleet.actions, func(a action) bool { return a.at.After(lastFaultAt) })
+		// The lease in the backup has to expire, and the next leader to wait.
+		require.Less(t, fleet.actions[first].at.Sub(lastFaultAt), 2*ttl+handoverDelay+time.Second)
 	})
 }
 
-func TestANodeThatSawTheDutyRestTakesItOverAtOnce(t *testing.T) {
+func TestNewLeaderActsAtOnceAfterIdleState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{}
 		fleet.store = storestub.New(time.Now, nil)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		one, stopOne := context.WithCancel(ctx)
-		first := fleet.start(one, "a", nil)
+		nodeCtx, stopNode := context.WithCancel(ctx)
+		first := fleet.start(nodeCtx, "a", nil)
 		time.Sleep(time.Second)
-		first.wanted.Store(false)
+		first.hasWork.Store(false)
 		time.Sleep(time.Second)
 		state := fleet.store.Entries("state")[0]
 		require.Equal(t, "idle a", string(state.Value))
-		seen := map[int64]time.Time{state.Revision: time.Now()}
-		time.Sleep(settling)
-		stopOne()
+		firstSeen := map[int64]time.Time{state.Revision: time.Now()}
+		time.Sleep(handoverDelay)
+		stopNode()
 		time.Sleep(time.Millisecond)
-		handed := time.Now()
-		fleet.start(ctx, "b", seen)
+		resignedAt := time.Now()
+		fleet.start(ctx, "b", firstSeen)
 		time.Sleep(time.Second)
-		fleet.check(t)
-		require.Less(t, fleet.last().at.Sub(handed), 2*time.Second, "no need to wait")
+		fleet.checkActions(t)
+		require.Less(t, fleet.last().at.Sub(resignedAt), 2*time.Second, "no need to wait")
 		require.Equal(t, "b", fleet.last().node)
 	})
 }
 
-// A machine that is suspended for as long as its lease lives does not order on waking: its
-// steady clock says that no time has passed, and another holder may be at work.
-func TestAHolderThatWasSuspendedOrdersNothingUntilItsLeaseIsRenewed(t *testing.T) {
+// A machine that was suspended for the TTL of its lease must not act on resuming: its monotonic
+// clock did not advance meanwhile, and another leader may be active.
+func TestSuspendedLeaderActsOnlyAfterRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine, restore := suspension.Begin()
 		defer restore()
-		refuses := atomic.Bool{}
+		unavailable := atomic.Bool{}
 		fleet := &fleet{}
 		fleet.store = storestub.New(time.Now, func(string) storestub.Fault {
-			if refuses.Load() {
+			if unavailable.Load() {
 				return storestub.Refused
 			}
 			return storestub.None
@@ -279,56 +279,56 @@
 		fleet.start(ctx, "a", nil)
 		time.Sleep(time.Second)
 		require.Equal(t, "a", fleet.last().node)
-		refuses.Store(true)
+		unavailable.Store(true)
 		synctest.Wait()
-		machine.Suspend(life)
-		woken := time.Now()
-		time.Sleep(life / 2)
-		require.False(t, fleet.last().at.After(woken))
-		refuses.Store(false)
+		machine.Suspend(ttl)
+		resumedAt := time.Now()
+		time.Sleep(ttl / 2)
+		require.False(t, fleet.last().at.After(resumedAt))
+		unavailable.Store(false)
 		time.Sleep(time.Second)
-		require.True(t, fleet.last().at.After(woken), "the lease never lapsed")
+		require.True(t, fleet.last().at.After(resumedAt), "the lease never lapsed")
 	})
 }
 
-func TestAMachineThatComesBackNeedNotWaitForItself(t *testing.T) {
+func TestRestartedLeaderSkipsHandoverDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{}
 		fleet.store = storestub.New(time.Now, nil)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		one, kill := context.WithCancel(ctx)
-		fleet.start(one, "a", nil)
+		nodeCtx, kill := context.WithCancel(ctx)
+		fleet.start(nodeCtx, "a", nil)
 		time.Sleep(time.Second)
 		kill()
 		time.Sleep(time.Millisecond)
-		begun := time.Now()
+		restartedAt := time.Now()
 		fleet.start(ctx, "a", nil)
 		time.Sleep(time.Second)
-		require.True(t, fleet.last().at.After(begun))
+		require.True(t, fleet.last().at.After(restartedAt))
 	})
 }
 
-func TestATenureStopsBeforeItsLeaseCanLapse(t *testing.T) {
+func TestLeadershipEndsBeforeLeaseExpiry(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		asked := time.Unix(1000, 0)
+		sentAt := time.Unix(1000, 0)
 		margin := 300 * time.Millisecond
-		tenure := NewTenure(7, asked, life, margin, asked)
-		latest := asked
+		leadership := NewLeadership(7, sentAt, ttl, margin, sentAt)
+		latest := sentAt
 		for range rapid.IntRange(0, 20).Draw(t, "renewals") {
-			renewal := asked.Add(time.Duration(rapid.IntRange(0, 10_000).Draw(t, "asked")) * time.Millisecond)
-			tenure.Renewed(renewal)
+			renewal := sentAt.Add(time.Duration(rapid.IntRange(0, 10_000).Draw(t, "asked")) * time.Millisecond)
+			leadership.Renewed(renewal)
 			if renewal.After(latest) {
 				latest = renewal
 			}
 		}
-		lapse := latest.Add(life)
-		require.True(t, tenure.MayAct(lapse.Add(-margin-time.Nanosecond)))
-		require.False(t, tenure.MayAct(lapse.Add(-margin)))
+		expiry := latest.Add(ttl)
+		require.True(t, leadership.MayAct(expiry.Add(-margin-time.Nanosecond)))
+		require.False(t, leadership.MayAct(expiry.Add(-margin)))
 	})
 }
 
-func TestAHolderOutlivesLostAnswers(t *testing.T) {
+func TestLeaderSurvivesLostRenewalResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{}
 		lost := atomic.Bool{}
@@ -344,95 +344,94 @@
 		time.Sleep(time.Second)
 		fleet.start(ctx, "b", nil)
 		lost.Store(true)
-		time.Sleep(2 * life)
-		require.True(t, fleet.last().at.Before(time.Now().Add(-life/2)), "it does not act on what it cannot know")
+		time.Sleep(2 * ttl)
+		require.True(t, fleet.last().at.Before(time.Now().Add(-ttl/2)), "it does not act on what it cannot know")
 		lost.Store(false)
 		time.Sleep(time.Second)
 		require.Equal(t, "a", fleet.last().node, "its lease never ended")
-		require.True(t, fleet.last().at.After(time.Now().Add(-life/2)))
-		fleet.check(t)
+		require.True(t, fleet.last().at.After(time.Now().Add(-ttl/2)))
+		fleet.checkActions(t)
 	})
 }
 
-func TestAHolderThatWasRefusedForItsTokenOrdersNoMoreWithIt(t *testing.T) {
+func TestFencedLeaderStopsActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{}
 		fleet.store = storestub.New(time.Now, nil)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		duty := fleet.start(ctx, "a", nil)
+		task := fleet.start(ctx, "a", nil)
 		time.Sleep(time.Second)
-		fenced := fleet.last().fence
-		duty.refused.Store(fenced)
-		time.Sleep(tick)
+		fenced := fleet.last().token
+		task.rejectedToken.Store(fenced)
+		time.Sleep(stepInterval)
 		refusedAt := time.Now()
-		time.Sleep(4 * settling)
-		for _, act := range fleet.acts {
-			require.False(t, act.fence == fenced && act.at.After(refusedAt), "%s", act.at.Sub(refusedAt))
+		time.Sleep(4 * handoverDelay)
+		for _, action := range fleet.actions {
+			require.False(t, action.token == fenced && action.at.After(refusedAt), "%s", action.at.Sub(refusedAt))
 		}
-		require.Greater(t, fleet.last().fence, fenced, "it takes the duty over anew")
+		require.Greater(t, fleet.last().token, fenced, "it takes the duty over anew")
 	})
 }
 
-// unheard is a store that answers nobody from a time on.
-type unheard struct {
+// blockingRenewStore is a store whose renewals get no response while blocked is set.
+type blockingRenewStore struct {
 	coordination.Store
-	deaf *atomic.Bool
+	blocked *atomic.Bool
 }
 
-func (s unheard) Renew(ctx context.Context, id int64) (bool, error) {
-	if s.deaf.Load() {
+func (s blockingRenewStore) Renew(ctx context.Context, id int64) (bool, error) {
+	if s.blocked.Load() {
 		<-ctx.Done()
 		return false, ctx.Err()
 	}
 	return s.Store.Renew(ctx, id)
 }
 
-// Seen: two holders ordered 2.96 s apart where 3 s are promised, in one of many runs of the
-// property above, on a machine that was busy. How: the store went back; another node heard of it
-// 50 ms before the holder did, which ordered once more meanwhile. Cause: the new holder counted
-// the settling time from when itself had heard of it. Proof: here the holder hears nothing at all
-// any more, and orders until its lease is over.
-func TestAHolderThatHasNotHeardThatTheStoreWentBackIsWaitedFor(t *testing.T) {
+// Guards against a new leader that acted 2.96 s after the previous one, where the handover delay
+// is 3 s: it had learned of a restore of the store 50 ms before the previous leader, which acted
+// once more, and counted the delay from its own observation. Here the previous leader gets no
+// response to its renewals any more, and acts until its lease ends.
+func TestNewLeaderWaitsForLeaderUnawareOfRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		copied, deaf := fleet.store.Copy(), &atomic.Bool{}
-		fleet.startWith(ctx, "a", nil, func(s coordination.Store) coordination.Store { return unheard{s, deaf} })
+		backup, blocked := fleet.store.Copy(), &atomic.Bool{}
+		fleet.startWithStore(ctx, "a", nil, func(s coordination.Store) coordination.Store { return blockingRenewStore{s, blocked} })
 		time.Sleep(time.Second)
 		survivor := fleet.start(ctx, "survivor", nil)
 		require.Equal(t, "a", fleet.last().node)
-		deaf.Store(true)
-		fleet.store.GoBack(copied)
-		time.Sleep(3*life + settling)
-		require.True(t, survivor.wanted.Load())
-		fleet.check(t)
+		blocked.Store(true)
+		fleet.store.GoBack(backup)
+		time.Sleep(3*ttl + handoverDelay)
+		require.True(t, survivor.hasWork.Load())
+		fleet.checkActions(t)
 		require.Equal(t, "survivor", fleet.last().node)
 	})
 }
 
-// Seen: two holders ordered 2.86 s apart where 3 s are promised (the property above, seed 2). How:
-// the store went back again while a new holder still waited for the one before. It took the duty
-// anew, as one that had held it itself. Cause: to hold the duty was taken for having settled. Proof:
-// here the second holder takes the duty, the store goes back twice, and nothing else happens.
-func TestAHolderThatHadNotBegunWaitsOnAfterTheStoreWentBackAgain(t *testing.T) {
+// Guards against a new leader that acted 2.86 s after the previous one, where the handover delay
+// is 3 s: the store was restored again while the new leader still waited for the previous one.
+// It became leader anew and, having been the last leader, skipped the rest of the wait. Here the
+// second leader is elected and the store is restored twice, without further faults.
+func TestWaitingLeaderKeepsWaitingAfterSecondRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		one, kill := context.WithCancel(ctx)
-		fleet.start(one, "a", nil)
-		copied := fleet.store.Copy()
+		nodeCtx, kill := context.WithCancel(ctx)
+		fleet.start(nodeCtx, "a", nil)
+		backup := fleet.store.Copy()
 		time.Sleep(500 * time.Millisecond)
 		fleet.start(ctx, "survivor", nil)
-		fleet.store.GoBack(copied)
+		fleet.store.GoBack(backup)
 		kill()
-		// The next copy has the lease of the one that waits.
+		// The next backup holds the waiting leader's lease.
 		time.Sleep(100 * time.Millisecond)
 		fleet.store.GoBack(fleet.store.Copy())
-		time.Sleep(3*life + 2*settling)
-		fleet.check(t)
+		time.Sleep(3*ttl + 2*handoverDelay)
+		fleet.checkActions(t)
 		require.Equal(t, "survivor", fleet.last().node)
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,33 +1,33 @@
-// Package metrics holds a node's counters. Names of tenants, models and back
-// ends may stand in labels; keys, prompts and answers never.
+// Package metrics defines the metrics of a node. Labels may contain the names of
+// tenants, models and backends, but never keys, prompts or responses.
 package metrics
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Set is all metrics of one node.
+// Set holds all metrics of one node.
 type Set struct {
-	Registry         *prometheus.Registry
-	Requests         *prometheus.CounterVec
-	Refusals         *prometheus.CounterVec
-	Attempts         *prometheus.CounterVec
-	LateEvents       prometheus.Counter
-	PromptTokens     prometheus.Counter
-	CachedTokens     prometheus.Counter
-	FirstToken       prometheus.Histogram
-	OpenStreams      prometheus.Gauge
-	LookupFallbacks  prometheus.Counter
-	CacheEvents      prometheus.Counter
-	CacheGaps        prometheus.Counter
-	Revision         prometheus.Gauge
-	Members          *prometheus.GaugeVec
-	ClaimRounds      *prometheus.CounterVec
-	DatagramsSent    prometheus.Counter
-	ConfigurationErr prometheus.Counter
+	Registry            *prometheus.Registry
+	Requests            *prometheus.CounterVec
+	Refusals            *prometheus.CounterVec
+	Attempts            *prometheus.CounterVec
+	LateEvents          prometheus.Counter
+	PromptTokens        prometheus.Counter
+	CachedTokens        prometheus.Counter
+	FirstToken          prometheus.Histogram
+	OpenStreams         prometheus.Gauge
+	LookupFallbacks     prometheus.Counter
+	CacheEvents         prometheus.Counter
+	CacheGaps           prometheus.Counter
+	Revision            prometheus.Gauge
+	Members             *prometheus.GaugeVec
+	ClaimRounds         *prometheus.CounterVec
+	DatagramsSent       prometheus.Counter
+	ConfigurationErrors prometheus.Counter
 }
 
-// New registers all metrics.
+// New creates and registers all metrics.
 func New() *Set {
 	set := &Set{Registry: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
@@ -65,6 +65,6 @@
 	set.Registry.MustRegister(set.Members)
 	set.ClaimRounds = counters("claim_rounds_total", "Claims of idempotency keys by decision.", "decision")
 	set.DatagramsSent = counter("datagrams_sent_total", "Gossip datagrams sent.")
-	set.ConfigurationErr = counter("configuration_errors_total", "Versions of the configuration that could not be read.")
+	set.ConfigurationErrors = counter("configuration_errors_total", "Versions of the configuration that could not be read.")
 	return set
 }
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -63,7 +63,7 @@
 	}
 	snapshot, err := version.Compile()
 	if err != nil {
-		catalog.metrics.ConfigurationErr.Inc()
+		catalog.metrics.ConfigurationErrors.Inc()
 		catalog.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be read")
 		return false
 	}
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -223,10 +223,10 @@
 	routing.Exclude(memory.candidates, excluded)
 	decision := memory.scheduler.Schedule(request, memory.candidates)
 	if decision.Index < 0 {
-		return nil, decision.Refused
+		return nil, decision.LastRejection
 	}
 	chosen := memory.candidates[decision.Index]
-	missing, imported := routing.Missing(request, &chosen)
+	missing, imported := routing.MissingTokens(request, &chosen)
 	place.importBlocks = 0
 	if imported > 0 {
 		place.importBlocks = chosen.ImportBlocks
@@ -249,15 +249,15 @@
 		WaitWeight:             weights.WaitWeight,
 		WorkWeight:             weights.WorkWeight,
 	}
-	if pool.KeptCache != nil {
-		request.ImportTokensPerSecond = pool.KeptCache.TokensPerSecond
+	if pool.PrefixStore != nil {
+		request.ImportTokensPerSecond = pool.PrefixStore.TokensPerSecond
 	}
 	return request
 }
 
 // storeName names the kept-KV store among the index's holders, or "".
 func (place *placement) storeName() string {
-	if store := place.pools[0].KeptCache; store != nil {
+	if store := place.pools[0].PrefixStore; store != nil {
 		return store.Name
 	}
 	return ""
@@ -340,7 +340,7 @@
 	set("priority", priorityOf(place.completion))
 	delete(fields, "continue_from")
 	delete(fields, "kv_transfer")
-	if store := place.pools[0].KeptCache; store != nil {
+	if store := place.pools[0].PrefixStore; store != nil {
 		set("kv_transfer", engineapi.Transfer{Store: store.Address, ImportBlocks: place.importBlocks})
 	}
 	if continueAt > 0 {
--- a/internal/node/home_test.go
+++ b/internal/node/home_test.go
@@ -36,7 +36,7 @@
 		health.note("p", true, now)
 	}
 	require.False(t, health.allows("p", now))
-	later := now.Add(peerBreaker.Rest)
+	later := now.Add(peerBreaker.OpenDuration)
 	require.True(t, health.allows("p", later))
 	require.False(t, health.allows("p", later), "one call probes")
 	health.note("p", false, later)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -28,23 +28,23 @@
 // limits keeps what this node knows of its tenants' use.
 type limits struct {
 	mutex   sync.Mutex
-	ledger  *admission.Ledger
+	ledger  *admission.TokenIssuer
 	tenants map[string]*tenantUse
-	places  map[string]*admission.Places
+	places  map[string]*admission.SlotPool
 }
 
 // tenantUse is one tenant's use of this node. It exists only for tenants that
 // have called here.
 type tenantUse struct {
 	mutex   sync.Mutex
-	share   *admission.Share
+	share   *admission.TokenLease
 	streams int
 	budget  *retry.Budget
 	usedAt  time.Time
 }
 
 func newLimits() *limits {
-	return &limits{ledger: admission.NewLedger(), tenants: map[string]*tenantUse{}, places: map[string]*admission.Places{}}
+	return &limits{ledger: admission.NewTokenIssuer(), tenants: map[string]*tenantUse{}, places: map[string]*admission.SlotPool{}}
 }
 
 func (limits *limits) tenant(name string) *tenantUse {
@@ -52,7 +52,7 @@
 	defer limits.mutex.Unlock()
 	use, found := limits.tenants[name]
 	if !found {
-		use = &tenantUse{share: admission.NewShare(), budget: retry.NewBudget(retry.DefaultBudget, boottime.Now())}
+		use = &tenantUse{share: admission.NewTokenLease(), budget: retry.NewBudget(retry.DefaultBudget, boottime.Now())}
 		limits.tenants[name] = use
 	}
 	use.usedAt = boottime.Now()
@@ -78,14 +78,14 @@
 func (limits *limits) configure(snapshot *configuration.Snapshot) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	kept := map[string]*admission.Places{}
+	kept := map[string]*admission.SlotPool{}
 	for _, pool := range snapshot.Declaration.Pools {
 		total := pool.ConcurrentPerEngine * len(pool.Engines)
 		places, found := limits.places[pool.Name]
 		if found {
 			places.Resize(total)
 		} else {
-			places = admission.NewPlaces(total)
+			places = admission.NewSlotPool(total)
 		}
 		kept[pool.Name] = places
 	}
@@ -111,7 +111,7 @@
 
 // poolPlaces finds the places of a pool; a pool that was just taken out of the
 // declaration has none.
-func (limits *limits) poolPlaces(pool string) (*admission.Places, bool) {
+func (limits *limits) poolPlaces(pool string) (*admission.SlotPool, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
 	places, found := limits.places[pool]
@@ -121,7 +121,7 @@
 func (limits *limits) take(tenant string, limit admission.Rate, want int) int {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	return limits.ledger.Take(boottime.Now(), tenant, limit, want)
+	return limits.ledger.Issue(boottime.Now(), tenant, limit, want)
 }
 
 // Admit checks the tenant's rate and open streams. The returned function ends
@@ -156,7 +156,7 @@
 		use.mutex.Unlock()
 		return true
 	}
-	want := use.share.Want()
+	want := use.share.RequestSize()
 	use.mutex.Unlock()
 	tokens, err := node.takeTokens(ctx, tenant, want)
 	use.mutex.Lock()
@@ -169,7 +169,7 @@
 	if tokens == 0 {
 		return false
 	}
-	use.share.Fill(now, tokens-1)
+	use.share.Refill(now, tokens-1)
 	return true
 }
 
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -99,7 +99,7 @@
 		for _, backend := range pool.Engines {
 			list = append(list, observed{backend: backend, events: true})
 		}
-		if store := pool.KeptCache; store != nil {
+		if store := pool.PrefixStore; store != nil {
 			list = append(list, observed{backend: configuration.Backend{Name: store.Name, Address: store.Address, Zone: store.Zone}, events: true})
 		}
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -51,7 +51,7 @@
 }
 
 // peerBreaker rests a peer after two calls in a row without an answer.
-var peerBreaker = retry.BreakerConfig{Failures: 2, Rest: 300 * time.Millisecond, MaximumRest: 3 * time.Second}
+var peerBreaker = retry.BreakerConfig{Failures: 2, OpenDuration: 300 * time.Millisecond, MaxOpenDuration: 3 * time.Second}
 
 // call sends a request to a peer and checks the type of its answer. A peer that
 // lately did not answer fails at once.
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -75,7 +75,7 @@
 	routing.Exclude(candidates, excluded)
 	decision := scheduler.Schedule(&routing.Request{}, candidates)
 	if decision.Index < 0 {
-		return plain.Server{}, failure.New(failure.KindNoEndpoint, "no server can take the request now ("+string(decision.Refused)+")",
+		return plain.Server{}, failure.New(failure.KindNoEndpoint, "no server can take the request now ("+string(decision.LastRejection)+")",
 			"send it again after the time given").WithRetryAfter(noEndpointWait)
 	}
 	chosen := candidates[decision.Index]
--- a/internal/plain/forwarder.go
+++ b/internal/plain/forwarder.go
@@ -93,8 +93,8 @@
 	outcome := exchange.Run(ctx, exchange.Request{
 		Rules: exchange.Rules{
 			Repeatable: request.Repeatable,
-			Runs:       maximumTries,
-			Sends:      maximumTries,
+			MaxRuns:    maximumTries,
+			MaxSends:   maximumTries,
 			RetryAfter: retryAfter,
 		},
 		Budget: budget,
@@ -137,7 +137,7 @@
 func (placer *placer) Place(excluded []string) (exchange.Placement, *exchange.Unplaced) {
 	server, refusal := placer.chooser.Choose(excluded)
 	if refusal != nil {
-		return nil, &exchange.Unplaced{Reason: refusal.Problem, Lasting: true}
+		return nil, &exchange.Unplaced{Reason: refusal.Problem, Permanent: true}
 	}
 	return &placement{placer: placer, server: server}, nil
 }
@@ -152,13 +152,13 @@
 func (placement *placement) Server() string { return placement.server.Name }
 
 // Started needs no note: plain answers are whole.
-func (placement *placement) Started() {}
+func (placement *placement) ResponseStarted() {}
 
 // Doubtful never gives up on a silent server before the request's time is over.
-func (placement *placement) Doubtful(time.Duration) bool { return false }
+func (placement *placement) Stalled(time.Duration) bool { return false }
 
 // StartBy is never: plain requests may begin at any time.
-func (placement *placement) StartBy() time.Time { return time.Time{} }
+func (placement *placement) StartDeadline() time.Time { return time.Time{} }
 
 // End tells the chooser how the attempt went.
 func (placement *placement) End(result exchange.Result) {
--- a/internal/proxy/contention_test.go
+++ b/internal/proxy/contention_test.go
@@ -15,14 +15,15 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// burst is how many requests are placed at one moment.
-const burst = 60
+// burstSize is the number of requests that are placed at the same time.
+const burstSize = 60
 
-// kinds are placers of a request with a prompt and of one without, before servers with 8 slots.
-var kinds = map[string]func(servers int) *placer{
-	"prompt": func(servers int) *placer { return placing(500, servers, 0) },
+// requestKinds are constructors of placers by kind of request: with a prompt, or plain. Servers for
+// plain requests have 8 slots.
+var requestKinds = map[string]func(servers int) *placer{
+	"prompt": func(servers int) *placer { return newTestPlacer(500, servers, 0) },
 	"plain": func(servers int) *placer {
-		p := placing(500, 0, 0)
+		p := newTestPlacer(500, 0, 0)
 		var list []backend.Server
 		for i := range servers {
 			list = append(list, backend.Server{Instance: fmt.Sprint("i-", i), Service: "s", Slots: 8})
@@ -33,30 +34,30 @@
 	},
 }
 
-// sibling returns a placer of another request of the same kind.
-func (p *placer) sibling(number int) *placer {
+// withRequestID returns a placer for a copy of the request with another ID.
+func (p *placer) withRequestID(number int) *placer {
 	other, request := *p.admitted, *p.admitted.request
 	request.ID = fmt.Sprint("request-", number)
 	other.request = &request
 	return newPlacer(p.proxy, &other)
 }
 
-// placeTogether places a burst of requests that have all looked at the servers before the first
-// of them begins.
-func (p *placer) placeTogether() (placed []*placement, refused int) {
+// placeFromSameSnapshot places a burst of requests that all select a server before the first of
+// them begins.
+func (p *placer) placeFromSameSnapshot() (placed []*placement, refused int) {
 	now := time.Now()
-	placers, choices := make([]*placer, burst), make([]*choice, burst)
+	placers, selections := make([]*placer, burstSize), make([]*selection, burstSize)
 	for i := range placers {
-		placers[i] = p.sibling(i)
+		placers[i] = p.withRequestID(i)
 		query := placers[i].query(now)
-		query.Most = neighbourhood
-		c := &choice{scheduler: routing.NewScheduler(placers[i].scorers()...), request: placers[i].routingRequest(), strict: true}
-		c.candidates = placers[i].look(query, nil, now)
-		if placers[i].decide(c, true) {
-			choices[i] = c
+		query.Limit = subsetSize
+		c := &selection{scheduler: routing.NewScheduler(placers[i].scorers()...), request: placers[i].routingRequest(), strict: true}
+		c.candidates = placers[i].loadCandidates(query, nil, now)
+		if placers[i].selectCandidate(c, true) {
+			selections[i] = c
 		}
 	}
-	for i, c := range choices {
+	for i, c := range selections {
 		if c != nil {
 			if began := placers[i].begin(c, placers[i].query(now), now); began != nil {
 				placed = append(placed, began)
@@ -72,15 +73,15 @@
 	return placed, refused
 }
 
-// placeAtOnce places a burst of requests from goroutines of their own.
-func (p *placer) placeAtOnce() (placed []*placement, refused int) {
+// placeConcurrently places each request of a burst in its own goroutine.
+func (p *placer) placeConcurrently() (placed []*placement, refused int) {
 	var mutex sync.Mutex
 	var ready, done sync.WaitGroup
 	start := make(chan struct{})
-	for i := range burst {
+	for i := range burstSize {
 		ready.Add(1)
 		done.Go(func() {
-			sibling := p.sibling(i)
+			sibling := p.withRequestID(i)
 			ready.Done()
 			<-start
 			began, unplaced := sibling.Place(nil)
@@ -99,13 +100,13 @@
 	return placed, refused
 }
 
-// bursts are the ways in which many requests are placed at one moment.
-var bursts = map[string]func(p *placer) ([]*placement, int){
-	"all look first":  (*placer).placeTogether,
-	"busy processors": (*placer).placeAtOnce,
+// burstModes are the ways in which a burst of requests is placed.
+var burstModes = map[string]func(p *placer) ([]*placement, int){
+	"all look first":  (*placer).placeFromSameSnapshot,
+	"busy processors": (*placer).placeConcurrently,
 }
 
-// keepProcessorsBusy runs three goroutines a processor that do nothing but count.
+// keepProcessorsBusy runs three spinning goroutines per processor until the test ends.
 func keepProcessorsBusy(t *testing.T) {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -124,30 +125,31 @@
 	}
 }
 
-// eachBurst runs a check for each kind of request and each way to place many at one moment.
-func eachBurst(t *testing.T, check func(t *testing.T, placing func(servers int) *placer, burst func(p *placer) ([]*placement, int))) {
-	for kind, placing := range kinds {
-		for way, burst := range bursts {
-			t.Run(kind+", "+way, func(t *testing.T) {
-				if way == "busy processors" {
+// forEachBurst runs a check for each kind of request and each burst mode.
+func forEachBurst(t *testing.T, check func(t *testing.T, newPlacer func(servers int) *placer, burst func(p *placer) ([]*placement, int))) {
+	for kind, newPlacer := range requestKinds {
+		for mode, burst := range burstModes {
+			t.Run(kind+", "+mode, func(t *testing.T) {
+				if mode == "busy processors" {
 					keepProcessorsBusy(t)
 				}
 				for range 5 {
-					check(t, placing, burst)
+					check(t, newPlacer, burst)
 				}
 			})
 		}
 	}
 }
 
-// Guards against a herd on a server whose backoff is over: one of many requests that see it so at
-// one moment probes it, and the others go to the server beside it, or are refused if there is none.
-func TestOneRequestOfABurstProbesAServerAfterItsBackoff(t *testing.T) {
-	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
+// Guards against a thundering herd on a server whose backoff has ended. Of many concurrent requests
+// that see it available, one probes it. The others go to another server, or are refused if there is
+// none.
+func TestBurstSendsOneProbeAfterBackoff(t *testing.T) {
+	forEachBurst(t, func(t *testing.T, newPlacer func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		for servers := range 3 {
-			p := placing(servers + 1)
+			p := newPlacer(servers + 1)
 			for i := range servers + 1 {
-				p.proxy.set.Notice(fmt.Sprint("i-", i), backend.Notice{Rest: time.Millisecond}, time.Now().Add(-time.Minute))
+				p.proxy.set.Notice(fmt.Sprint("i-", i), backend.Notice{RetryAfter: time.Millisecond}, time.Now().Add(-time.Minute))
 			}
 			placed, refused := burst(p)
 			require.Len(t, placed, servers+1, "one at each")
@@ -156,15 +158,16 @@
 	})
 }
 
-// Guards against a herd on a server whose breaker lets a probe through beside a sound one.
-func TestOneRequestOfABurstProbesAServerThatFailed(t *testing.T) {
-	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
-		p := placing(2)
+// Guards against a thundering herd on a failed server whose circuit breaker admits a probe while
+// another server is healthy.
+func TestBurstSendsAtMostOneProbeToFailedServer(t *testing.T) {
+	forEachBurst(t, func(t *testing.T, newPlacer func(int) *placer, burst func(*placer) ([]*placement, int)) {
+		p := newPlacer(2)
 		ago := time.Now().Add(-time.Minute)
-		all := p.look(p.query(time.Now()), nil, time.Now())
+		all := p.loadCandidates(p.query(time.Now()), nil, time.Now())
 		for _, c := range all {
 			if c.Endpoint == "i-0" {
-				p.fail(c, ago)
+				p.failAttempt(c, ago)
 			}
 		}
 		placed, refused := burst(p)
@@ -179,13 +182,14 @@
 	})
 }
 
-// Guards against a herd where all servers have failed: each is probed by one request, and the
-// others are refused instead of failing with it. Once a probe is answered, all are placed.
-func TestOneRequestOfABurstProbesEachServerIfAllHaveFailed(t *testing.T) {
-	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
-		p := placing(2)
-		for _, c := range p.look(p.query(time.Now()), nil, time.Now()) {
-			p.fail(c, time.Now())
+// Guards against a thundering herd when all servers have failed. Each server is probed by one
+// request, and the others are refused instead of failing too. Once a probe succeeds, all requests
+// are placed.
+func TestBurstProbesEachServerOnceWhenAllFailed(t *testing.T) {
+	forEachBurst(t, func(t *testing.T, newPlacer func(int) *placer, burst func(*placer) ([]*placement, int)) {
+		p := newPlacer(2)
+		for _, c := range p.loadCandidates(p.query(time.Now()), nil, time.Now()) {
+			p.failAttempt(c, time.Now())
 		}
 		placed, refused := burst(p)
 		require.Len(t, placed, 2)
@@ -198,16 +202,16 @@
 	})
 }
 
-// fail lets an attempt at a candidate fail to connect.
-func (p *placer) fail(c routing.Candidate, at time.Time) {
-	claim := backend.Claim{Query: p.query(at), Chosen: c, Holds: func(*routing.Candidate) bool { return true }}
+// failAttempt begins an attempt on a candidate and ends it as unreached.
+func (p *placer) failAttempt(c routing.Candidate, at time.Time) {
+	claim := backend.Placement{Query: p.query(at), Chosen: c, StillValid: func(*routing.Candidate) bool { return true }}
 	p.proxy.set.Begin(claim, at).End(exchange.ResultUnreached, at)
 }
 
-// Guards against a queue at one server while others stand idle: requests that are placed at one
-// moment are spread as those that are placed one after the other.
-func TestABurstIsSpreadAsRequestsOneAfterTheOther(t *testing.T) {
-	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
+// Guards against a queue on one server while others are idle: requests that are placed
+// concurrently are spread as evenly as sequential ones.
+func TestBurstSpreadsLikeSequentialRequests(t *testing.T) {
+	forEachBurst(t, func(t *testing.T, newPlacer func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		longest := func(placed []*placement) int {
 			most, at := 0, map[string]int{}
 			for _, p := range placed {
@@ -216,20 +220,20 @@
 			}
 			return most
 		}
-		p := placing(12)
+		p := newPlacer(12)
 		p.admitted.route = &catalog.Route{TargetLatency: time.Minute}
 		p.admitted.request.Arrived = time.Now()
-		var inTurn []*placement
+		var sequential []*placement
 		for i := range 60 {
-			placed, unplaced := p.sibling(i).Place(nil)
+			placed, unplaced := p.withRequestID(i).Place(nil)
 			require.Nil(t, unplaced)
-			inTurn = append(inTurn, placed.(*placement))
+			sequential = append(sequential, placed.(*placement))
 		}
-		for _, placed := range inTurn {
+		for _, placed := range sequential {
 			placed.attempt.End(exchange.ResultNeutral, time.Now())
 		}
-		together, refused := burst(p)
+		concurrent, refused := burst(p)
 		require.Zero(t, refused)
-		require.LessOrEqual(t, longest(together), longest(inTurn)+1)
+		require.LessOrEqual(t, longest(concurrent), longest(sequential)+1)
 	})
 }
--- a/internal/proxy/limit.go
+++ b/internal/proxy/limit.go
@@ -9,7 +9,7 @@
 	"github.com/cloverrail/cloverrail/internal/quota"
 )
 
-// cost is how much of its tenant's limit a request takes.
+// cost returns how much of its tenant's rate limit the request uses.
 func (admitted *admitted) cost() float64 {
 	limit, prompt := admitted.tenant.Limit, admitted.request.Prompt
 	if prompt == nil {
@@ -18,14 +18,14 @@
 	return limit.Cost(prompt.Tokens+prompt.Output, true)
 }
 
-// limited reports whether the request counts against a limit.
-func (admitted *admitted) limited() bool {
+// rateLimited reports whether the request counts against a rate limit.
+func (admitted *admitted) rateLimited() bool {
 	return admitted.tenant != nil && admitted.tenant.Limit.Limited()
 }
 
-// checkLimit refuses a request that is beyond its tenant's limit.
-func (proxy *Proxy) checkLimit(admitted *admitted, now time.Time) *failure.Failure {
-	if !admitted.limited() {
+// checkRateLimit refuses a request that exceeds its tenant's rate limit.
+func (proxy *Proxy) checkRateLimit(admitted *admitted, now time.Time) *failure.Failure {
+	if !admitted.rateLimited() {
 		return nil
 	}
 	tenant := admitted.tenant
@@ -33,7 +33,7 @@
 	if decision.Admitted {
 		return nil
 	}
-	proxy.recorder.Limited(admitted.request, tenant.Name, tenant.Limit, decision)
+	proxy.recorder.RateLimited(admitted.request, tenant.Name, tenant.Limit, decision)
 	problem := fmt.Sprintf("the tenant asks for more than its limit of %.0f %s a second", tenant.Limit.PerSecond, unitNames[tenant.Limit.Unit])
 	return failure.New(failure.KindRateLimited, problem, "send it again after the time given, or ask for a higher limit").
 		WithRetryAfter(decision.RetryAfter)
@@ -41,9 +41,9 @@
 
 var unitNames = map[quota.Unit]string{quota.Requests: "requests", quota.Tokens: "tokens"}
 
-// settleLimit gives back what was counted for a request that did not run.
-func (proxy *Proxy) settleLimit(admitted *admitted, outcome exchange.Outcome, now time.Time) {
-	if admitted.limited() && outcome.Failure != nil && outcome.Failure.Outcome == failure.NotRun {
-		proxy.limiter.GiveBack(admitted.tenant.Name, admitted.cost(), now)
+// refundRateLimit returns the cost of a request that did not run to its tenant.
+func (proxy *Proxy) refundRateLimit(admitted *admitted, outcome exchange.Outcome, now time.Time) {
+	if admitted.rateLimited() && outcome.Failure != nil && outcome.Failure.Outcome == failure.NotRun {
+		proxy.limiter.Refund(admitted.tenant.Name, admitted.cost(), now)
 	}
 }
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -13,31 +13,34 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// placement is one attempt at a chosen server.
+// placement is an attempt on a chosen server. It implements exchange.Placement.
 type placement struct {
 	placer  *placer
 	chosen  routing.Candidate
 	attempt *backend.Attempt
-	// tokens are those of the prompt that the server is taken to read.
-	tokens int
-	// deferred says that all others go first.
+	// prefillTokens is the estimated number of prompt tokens that the server must
+	// compute because they are neither in its cache nor importable.
+	prefillTokens int
+	// deferred is set if the request is late and yields to all others.
 	deferred bool
-	begun    time.Time
-	// suspended is for how long the machine had been suspended when it began.
-	suspended time.Duration
-	started   bool
-	// startedAt is when the server began to answer.
-	startedAt time.Time
-	saves     bool
+	placedAt time.Time
+	// suspendedAtPlacement is the machine's total suspended time at placedAt.
+	suspendedAtPlacement time.Duration
+	responding           bool
+	// respondingSince is when the response began.
+	respondingSince time.Time
+	savesToStore    bool
 }
 
-// Server names the server's incarnation.
+// Server returns the name of the server's incarnation.
 func (placement *placement) Server() string { return placement.chosen.Endpoint }
 
 // Send sends the request to the server.
+//
+// It returns ErrWithdrawn without sending if another response has meanwhile
+// announced that the server is leaving or needs to back off.
 func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*exchange.Reply, error) {
-	// The server may have said so to another request since it was chosen for this one.
-	if placement.placer.proxy.set.Withdrawn(placement.chosen.Endpoint, boottime.Now()) {
+	if placement.placer.proxy.set.RejectsTraffic(placement.chosen.Endpoint, boottime.Now()) {
 		return nil, &exchange.ErrWithdrawn{Reason: "the server has said meanwhile that it leaves or rests"}
 	}
 	admitted := placement.placer.admitted
@@ -51,7 +54,7 @@
 		Urgency:    placement.urgency(),
 		Resumes:    resumes,
 		After:      after,
-		Repeatable: admitted.route.MayRunAgain(),
+		Repeatable: admitted.route.Retryable(),
 	}
 	if admitted.tenant != nil {
 		dispatch.Tenant = admitted.tenant.Name
@@ -59,16 +62,16 @@
 	if placement.placer.prompt() != nil {
 		dispatch.Version = placement.chosen.Version
 		dispatch.Salt = placement.placer.salt(placement.chosen.Version)
-		placement.addSources(&dispatch)
+		placement.addKVSources(&dispatch)
 	}
 	reply, err := placement.placer.proxy.servers.Send(ctx, dispatch)
-	placement.learn(dispatch, err)
+	placement.learnFromRefusal(dispatch, err)
 	return reply, err
 }
 
-// learn takes what a refusal says of the server: that it is gone, or what weights
-// it has.
-func (placement *placement) learn(dispatch Dispatch, err error) {
+// learnFromRefusal updates the server set from a refusal, which can show that the
+// incarnation is gone or which version of the weights the server has loaded.
+func (placement *placement) learnFromRefusal(dispatch Dispatch, err error) {
 	var refused *exchange.ErrRefused
 	if !errors.As(err, &refused) {
 		return
@@ -79,122 +82,122 @@
 	}
 	if dispatch.Version != 0 && refused.LoadedVersion != 0 {
 		versions := map[string]int64{dispatch.Request.Prompt.Model: refused.LoadedVersion}
-		placement.placer.proxy.set.Learn(placement.chosen.Endpoint, versions)
+		placement.placer.proxy.set.ObserveVersions(placement.chosen.Endpoint, versions)
 	}
 }
 
-// addSources says from where the server fetches shared parts that it lacks, and
-// whether it saves to the store of kept KV cache. A server saves whole prompts, so
-// it does only if the store lacks more shared tokens than it would take in for
-// nobody else.
-func (placement *placement) addSources(dispatch *Dispatch) {
+// addKVSources sets where the server fetches missing shared parts from and whether it
+// saves to the KV cache store. A server saves whole prompts, so it saves only if the
+// store lacks at least as many shared tokens as the prompt has tokens of its own.
+func (placement *placement) addKVSources(dispatch *Dispatch) {
 	dispatch.FetchFrom = placement.chosen.ImportFrom
 	store := placement.placer.store()
 	if store == nil {
 		return
 	}
 	shared := placement.placer.sharedTokens()
-	missing := shared - placement.placer.inStore(placement.chosen.Version, placement.begun)
+	missing := shared - placement.placer.tokensInStore(placement.chosen.Version, placement.placedAt)
 	if own := placement.placer.prompt().Tokens - shared; missing > 0 && missing >= own {
 		dispatch.SaveTo = store.Address
-		placement.saves = true
+		placement.savesToStore = true
 	}
 }
 
-// Started says that the server has begun to answer: it has read the prompt.
-func (placement *placement) Started() {
-	if placement.started {
+// ResponseStarted records the start of the response, which shows that prefill is complete.
+func (placement *placement) ResponseStarted() {
+	if placement.responding {
 		return
 	}
 	now := boottime.Now()
-	placement.started, placement.startedAt = true, now
-	placement.attempt.Started(now)
+	placement.responding, placement.respondingSince = true, now
+	placement.attempt.ResponseStarted(now)
 	if placement.placer.prompt() == nil {
 		return
 	}
 	if placement.chosen.Running == 0 {
-		placement.placer.proxy.pace.measure(placement.tokens, now.Sub(placement.begun))
+		placement.placer.proxy.prefillRate.observe(placement.prefillTokens, now.Sub(placement.placedAt))
 	}
-	placement.remember(now)
+	placement.recordResidency(now)
 }
 
-// remember notes where the parts of the prompt lie now.
-func (placement *placement) remember(now time.Time) {
+// recordResidency records which server and store now hold the parts of the prompt.
+func (placement *placement) recordResidency(now time.Time) {
 	placer := placement.placer
 	ledger := placer.proxy.ledger
-	pieces := placer.named(placement.chosen.Version)
+	pieces := placer.piecesAt(placement.chosen.Version)
 	capacity := placer.admitted.service.Engine.CacheTokens
-	ledger.Note(placement.chosen.Address, placement.chosen.Endpoint, pieces, placement.tokens, capacity, now)
+	ledger.RecordSent(placement.chosen.Address, placement.chosen.Endpoint, pieces, placement.prefillTokens, capacity, now)
 	store := placer.store()
 	switch {
 	case store == nil:
-	case placement.saves:
-		ledger.Note(store.Address, "", pieces, placer.prompt().Tokens, store.CapacityTokens, now.Add(saveTime))
+	case placement.savesToStore:
+		ledger.RecordSent(store.Address, "", pieces, placer.prompt().Tokens, store.CapacityTokens, now.Add(storeSaveDelay))
 	case placement.chosen.HitBlocks < placer.sharedTokens():
-		ledger.Note(store.Address, "", pieces, 0, store.CapacityTokens, now)
+		ledger.RecordSent(store.Address, "", pieces, 0, store.CapacityTokens, now)
 	}
 }
 
-// Doubtful reports whether a silent attempt is better tried elsewhere: only if another server
-// takes it now, since a server that is slow is better than none.
-func (placement *placement) Doubtful(silent time.Duration) bool {
-	return placement.doubtful(silent) && placement.placer.elsewhere(placement.chosen.Endpoint)
+// Stalled reports whether a silent attempt should be retried on another server. It requires
+// that another server accepts the request now, since a slow server is better than none.
+func (placement *placement) Stalled(silent time.Duration) bool {
+	return placement.exceedsSilenceLimit(silent) && placement.placer.hasAlternative(placement.chosen.Endpoint)
 }
 
-// doubtful reports whether an attempt has been silent for too long: soon if its server has
-// answered nobody meanwhile, and later if it only has much to do. The time to read the prompt, and
-// those before it, is allowed for.
-func (placement *placement) doubtful(silent time.Duration) bool {
-	if !placement.started {
-		silent -= placement.reading()
+// exceedsSilenceLimit reports whether an attempt has been silent for too long, not counting the
+// expected prefill of its prompt and of those queued before it. The limit is shorter if the server
+// has not answered any request meanwhile, and longer if it is merely busy.
+func (placement *placement) exceedsSilenceLimit(silent time.Duration) bool {
+	if !placement.responding {
+		silent -= placement.prefillAllowance()
 	}
 	if silent <= 0 {
 		return false
 	}
 	target := placement.placer.admitted.route.TargetLatency
-	if placement.deferred && !placement.started {
-		return !placement.attempt.HeardSince(boottime.Now().Add(-silent)) && silent >= target/2
+	if placement.deferred && !placement.responding {
+		return !placement.attempt.ServerRespondedSince(boottime.Now().Add(-silent)) && silent >= target/2
 	}
-	if placement.attempt.HeardSince(boottime.Now().Add(-silent)) {
-		return silent >= time.Duration(lastDoubt*float64(target))
+	if placement.attempt.ServerRespondedSince(boottime.Now().Add(-silent)) {
+		return silent >= time.Duration(maxSilenceFactor*float64(target))
 	}
 	return silent >= target/2
 }
 
-// StartBy is when the request must have begun if the server's weights are not the
-// newest: it may wait in the server's queue until they must not serve any more.
-func (placement *placement) StartBy() time.Time {
+// StartDeadline returns the time by which the response must have begun if the server does
+// not have the newest weights: the request may wait in the server's queue until those
+// weights may no longer serve.
+func (placement *placement) StartDeadline() time.Time {
 	prompt := placement.placer.prompt()
 	if prompt == nil {
 		return time.Time{}
 	}
-	return placement.placer.proxy.lastStart(prompt.Model, placement.chosen.Version)
+	return placement.placer.proxy.startDeadline(prompt.Model, placement.chosen.Version)
 }
 
-// reading is the time that the server is allowed for reading the prompt and
-// those that were sent before it.
-func (placement *placement) reading() time.Duration {
+// prefillAllowance returns the time allowed for the prefill of the prompt and of those
+// that were sent to the server before it.
+func (placement *placement) prefillAllowance() time.Duration {
 	if placement.placer.prompt() == nil {
 		return 0
 	}
-	return readingAllowance * placement.placer.proxy.pace.timeOf(placement.chosen.QueuedTokens+placement.tokens)
+	return prefillAllowanceFactor * placement.placer.proxy.prefillRate.timeFor(placement.chosen.QueuedTokens+placement.prefillTokens)
 }
 
-// tellsOfServer reports whether a connection that the server closed is a reason to suspect
-// the request: not if the server was leaving, or if this machine was suspended meanwhile.
-func (placement *placement) tellsOfServer() bool {
-	return boottime.Suspended() == placement.suspended && placement.placer.proxy.set.Stays(placement.chosen.Endpoint)
+// implicatesRequest reports whether a connection closed by the server makes the request a
+// suspect. It does not if the server was leaving or if this machine was suspended meanwhile.
+func (placement *placement) implicatesRequest() bool {
+	return boottime.Suspended() == placement.suspendedAtPlacement && placement.placer.proxy.set.InService(placement.chosen.Endpoint)
 }
 
-// End says that the attempt is over.
+// End records the result of the attempt.
 func (placement *placement) End(result exchange.Result) {
 	now := boottime.Now()
 	placement.attempt.End(result, now)
-	if result == exchange.ResultCutOff && placement.tellsOfServer() {
-		placement.placer.proxy.suspect(placement.placer.admitted, placement.chosen, placement.started, now)
+	if result == exchange.ResultCutOff && placement.implicatesRequest() {
+		placement.placer.proxy.suspect(placement.placer.admitted, placement.chosen, placement.responding, now)
 	}
-	if result == exchange.ResultServed && placement.started && placement.placer.prompt() != nil {
-		reading := placement.placer.proxy.pace.timeOf(placement.tokens)
-		placement.placer.proxy.slotTime.measure(now.Sub(placement.startedAt) + reading)
+	if result == exchange.ResultServed && placement.responding && placement.placer.prompt() != nil {
+		prefill := placement.placer.proxy.prefillRate.timeFor(placement.prefillTokens)
+		placement.placer.proxy.slotTime.observe(now.Sub(placement.respondingSince) + prefill)
 	}
 }
--- a/internal/proxy/placer.go
+++ b/internal/proxy/placer.go
@@ -16,51 +16,52 @@
 )
 
 const (
-	// plainTurn is the assumed share of a plain request's time that it takes from
-	// the next one at its server, in seconds.
-	plainTurn = 0.01
-	// placementPart is the part of the target latency for which a request waits
-	// for a server with room before it is refused.
-	placementPart = 8
-	// firstPatience and gapPatience are the silences, in targets, after which a
-	// request that may run again is tried elsewhere.
-	firstPatience = 0.5
-	gapPatience   = 4
-	leastGap      = time.Second
-	// lastDoubt is the silence, in targets, after which an attempt is tried elsewhere
-	// even if its server answers others.
-	lastDoubt = 2.5
-	// readingAllowance is how much longer than expected the reading of a prompt may
-	// take before its server is doubted.
-	readingAllowance = 2
-	// saveTime is how long after the first event the parts of a prompt have surely
-	// reached the store.
-	saveTime = 150 * time.Millisecond
-	// workWeight is how much dearer a second of reading a prompt is than a second
-	// of waiting: it is taken from every request that comes after.
+	// plainRequestCost is the estimated delay in seconds that each running plain request
+	// adds to the next one on the same server.
+	plainRequestCost = 0.01
+	// placementWaitDivisor sets how long a request waits for a server with free capacity
+	// before it is refused: the target latency divided by it.
+	placementWaitDivisor = 8
+	// firstEventTimeoutFactor and eventGapTimeoutFactor bound the silence before the
+	// first event, as a multiple of the target latency, and between events, as a multiple
+	// of the target gap. Then a repeatable request may be retried on another server.
+	firstEventTimeoutFactor = 0.5
+	eventGapTimeoutFactor   = 4
+	minEventGapTimeout      = time.Second
+	// maxSilenceFactor is the silence, as a multiple of the target latency, after which
+	// an attempt is retried elsewhere even if its server answers other requests.
+	maxSilenceFactor = 2.5
+	// prefillAllowanceFactor is how many times its estimated duration a prefill may take
+	// before the silence counts against the server.
+	prefillAllowanceFactor = 2
+	// storeSaveDelay is the time after the first event by which the saved parts of a
+	// prompt are assumed to have reached the store.
+	storeSaveDelay = 150 * time.Millisecond
+	// workWeight is the cost of a second of prefill relative to a second of waiting.
+	// Prefill costs more because it delays every later request on the engine.
 	workWeight = 4
-	// answerWorth is how many target latencies of engine time an answer in time is
-	// worth: to save one that would be lost, others may wait for so long in all.
-	answerWorth = 4
+	// answerValueFactor is the value of a timely answer in engine time, as a multiple of
+	// the target latency: other requests may wait that long in total to save one answer.
+	answerValueFactor = 4
 )
 
-// exchange builds what the driver needs of an admitted request.
+// exchange returns the exchange.Request for an admitted request.
 func (proxy *Proxy) exchange(admitted *admitted, caller exchange.Caller) exchange.Request {
 	route := admitted.route
 	return exchange.Request{
 		Rules: exchange.Rules{
-			Repeatable:    route.MayRunAgain(),
-			Runs:          max(1, route.MaxAttempts),
-			Sends:         exchange.DefaultSends,
-			PlacementWait: route.TargetLatency / placementPart,
+			Repeatable:    route.Retryable(),
+			MaxRuns:       max(1, route.MaxAttempts),
+			MaxSends:      exchange.DefaultMaxSends,
+			PlacementWait: route.TargetLatency / placementWaitDivisor,
 			RetryAfter:    retryAfter(route),
 		},
-		Budget:      proxy.retries.Of(admitted.service.Name),
-		Patience:    patience(route),
-		ResumeAfter: admitted.request.ResumeAfter,
-		Placer:      newPlacer(proxy, admitted),
-		Caller:      caller,
-		Stopping:    proxy.stopping,
+		Budget:          proxy.retries.ForService(admitted.service.Name),
+		SilenceTimeouts: silenceTimeouts(route),
+		ResumeAfter:     admitted.request.ResumeAfter,
+		Placer:          newPlacer(proxy, admitted),
+		Caller:          caller,
+		Stopping:        proxy.stopping,
 		Observe: func(server string, event exchange.Event) {
 			fingerprint := quarantine.Fingerprint(0)
 			if _, broke := event.(exchange.Broken); broke {
@@ -71,18 +72,18 @@
 	}
 }
 
-func patience(route *catalog.Route) exchange.Patience {
-	if !route.MayRunAgain() {
-		return exchange.Patience{}
+func silenceTimeouts(route *catalog.Route) exchange.SilenceTimeouts {
+	if !route.Retryable() {
+		return exchange.SilenceTimeouts{}
 	}
-	return exchange.Patience{
-		First:   time.Duration(firstPatience * float64(route.TargetLatency)),
-		Between: max(leastGap, gapPatience*route.GapTarget),
+	return exchange.SilenceTimeouts{
+		FirstEvent:    time.Duration(firstEventTimeoutFactor * float64(route.TargetLatency)),
+		BetweenEvents: max(minEventGapTimeout, eventGapTimeoutFactor*route.GapTarget),
 	}
 }
 
-// retryAfter is when a caller that was refused should come back: soon enough to
-// be served in time, and late enough for a queue to have moved on.
+// retryAfter returns the retry delay for refused callers: short enough that a retry can
+// still be served in time, and long enough for queues to have drained a little.
 func retryAfter(route *catalog.Route) time.Duration {
 	return max(50*time.Millisecond, route.TargetLatency/4)
 }
@@ -91,42 +92,42 @@
 type placer struct {
 	proxy    *Proxy
 	admitted *admitted
-	// pieces holds the shared parts of the prompt as they are named at each version.
+	// pieces caches the keys of the prompt's shared parts by version of the weights.
 	pieces map[int64][]residency.Piece
-	// stored holds how much of it the store of kept KV cache has at each version.
-	stored map[int64]int
-	// comeBack is when the caller is to come back that meets the limits of all servers; zero if it
-	// has not met them.
-	comeBack time.Time
-	// excluded names the servers that have been tried.
+	// storedTokens caches how many shared tokens the KV cache store holds, by version.
+	storedTokens map[int64]int
+	// retryAt is when the caller was told to retry because all servers were at their
+	// request limits; zero if that has not happened.
+	retryAt time.Time
+	// excluded lists the servers that were already tried.
 	excluded []string
 }
 
 func newPlacer(proxy *Proxy, admitted *admitted) *placer {
-	return &placer{proxy: proxy, admitted: admitted, pieces: map[int64][]residency.Piece{}, stored: map[int64]int{}}
+	return &placer{proxy: proxy, admitted: admitted, pieces: map[int64][]residency.Piece{}, storedTokens: map[int64]int{}}
 }
 
-// Place filters, scores and picks among the servers known now.
+// Place chooses the cheapest available server and begins an attempt on it.
 func (placer *placer) Place(excluded []string) (exchange.Placement, *exchange.Unplaced) {
 	placer.excluded = excluded
 	now := boottime.Now()
-	if verdict := placer.proxy.heldOff(placer.admitted, now); verdict.Held {
-		return nil, &exchange.Unplaced{Reason: heldOffProblem(verdict), Lasting: true}
+	if verdict := placer.proxy.quarantineVerdict(placer.admitted, now); verdict.Quarantined {
+		return nil, &exchange.Unplaced{Reason: quarantineProblem(verdict), Permanent: true}
 	}
-	// A suspension stops the timer that would have ended the request.
+	// The timer that ends the request does not advance while the machine is suspended.
 	if !now.Before(placer.admitted.deadline) {
-		return nil, &exchange.Unplaced{Reason: "the request's time is over", Lasting: true}
+		return nil, &exchange.Unplaced{Reason: "the request's time is over", Permanent: true}
 	}
 	scheduler, request := routing.NewScheduler(placer.scorers()...), placer.routingRequest()
-	for look := 1; look <= mostLooks; look++ {
-		if look == 2 {
-			placer.proxy.replacing.Lock()
-			defer placer.proxy.replacing.Unlock()
+	for round := 1; round <= maxPlacementRounds; round++ {
+		if round == 2 {
+			placer.proxy.conflictMutex.Lock()
+			defer placer.proxy.conflictMutex.Unlock()
 		}
-		choice := &choice{scheduler: scheduler, request: request, strict: look < mostLooks}
-		placed, unplaced := placer.choose(choice, excluded, boottime.Now())
+		selection := &selection{scheduler: scheduler, request: request, strict: round < maxPlacementRounds}
+		placed, unplaced := placer.selectAndBegin(selection, excluded, boottime.Now())
 		if placed != nil {
-			placer.proxy.recorder.Placed(placer.admitted.request, placer.explain(choice, placed, look))
+			placer.proxy.recorder.Placed(placer.admitted.request, placer.describe(selection, placed, round))
 			return placed, nil
 		}
 		if unplaced != nil {
@@ -137,156 +138,159 @@
 }
 
 const (
-	// neighbourhood is how many servers of a large service a request chooses from. The best
-	// of 64 that are drawn by its prompt is as good as the best of thousands while a few in a
-	// hundred are busy: of five zones each has a dozen in it, and a third of all may be dark
-	// at once without a neighbourhood that is all dark (1 in 10^30). To look at all of 10,000
-	// takes 9.8 ms and 2.8 MB, to look at 64 some 40 us and 18 kB (BenchmarkPlace).
-	neighbourhood = 64
-	// widening is by how much the neighbourhood grows if none of it takes the request.
-	widening = 4
-	// mostLooks is how often a placement looks at the servers if others are placed at the one that
-	// it chose before it is. From the second look on, placements take turns, so that they lose
-	// to first looks only; the last look asks only whether the server takes the request.
-	mostLooks = 4
+	// subsetSize is the number of servers of a large service that a request chooses from.
+	// The best of 64 is as good as the best of thousands while a few percent are busy: with
+	// five zones, about 12 are in each, and with a third of all servers unreachable, all 64
+	// are with probability 1e-30. Placement among 64 takes about 40 us and 18 kB, among
+	// 10,000 it takes 9.8 ms and 2.8 MB (BenchmarkPlace).
+	subsetSize = 64
+	// subsetGrowth is the factor by which the subset grows if none of its servers accepts
+	// the request.
+	subsetGrowth = 4
+	// maxPlacementRounds bounds the rounds of a placement whose choice is invalidated by
+	// concurrent placements on the same server. From the second round on, placements hold
+	// conflictMutex, so that they can lose only to first rounds. The last round requires
+	// only that the server accepts the request.
+	maxPlacementRounds = 4
 )
 
-// choice is one look at the servers, and what was decided by it.
-type choice struct {
+// selection is one round of placement: a snapshot of the candidates and the decision.
+type selection struct {
 	scheduler  *routing.Scheduler
 	request    *routing.Request
 	candidates []routing.Candidate
 	decision   routing.Decision
-	// strict says that the chosen server must still be the best when the attempt begins there, and
-	// not only take the request.
+	// strict requires that the chosen server is still the cheapest when the attempt begins,
+	// and not only that it still accepts the request.
 	strict bool
-	// lastResort says that all servers that are left rest after failures.
+	// lastResort is set if the circuit breakers of all remaining servers are open.
 	lastResort bool
 }
 
-// schedule chooses among the candidates.
-func (c *choice) schedule() { c.decision = c.scheduler.Schedule(c.request, c.candidates) }
+// schedule runs the scheduler on the candidates.
+func (s *selection) schedule() { s.decision = s.scheduler.Schedule(s.request, s.candidates) }
 
-// chosen is the chosen candidate.
-func (c *choice) chosen() *routing.Candidate { return &c.candidates[c.decision.Index] }
+// chosen returns the chosen candidate.
+func (s *selection) chosen() *routing.Candidate { return &s.candidates[s.decision.Index] }
 
-// stands reports whether the choice would be the same with the chosen server as it is now.
-func (c *choice) stands(current *routing.Candidate) bool {
-	if current.Version != c.chosen().Version {
+// stillValid reports whether the decision holds with the current state of the chosen server.
+func (s *selection) stillValid(current *routing.Candidate) bool {
+	if current.Version != s.chosen().Version {
 		return false
 	}
-	if c.lastResort {
-		current.Resting = false
+	if s.lastResort {
+		current.BreakerOpen = false
 	}
-	if routing.Filter(c.request, current) != routing.Accepted {
+	if routing.Filter(s.request, current) != routing.Accepted {
 		return false
 	}
-	if !c.strict || c.decision.Next < 0 {
+	if !s.strict || s.decision.Next < 0 {
 		return true
 	}
-	return c.scheduler.Cost(c.request, current) <= c.scheduler.Cost(c.request, &c.candidates[c.decision.Next])
+	return s.scheduler.Cost(s.request, current) <= s.scheduler.Cost(s.request, &s.candidates[s.decision.Next])
 }
 
-// choose looks at the servers and begins at the best of them. It looks at the neighbourhood of
-// the prompt, which is the same for all nodes, and further only if nothing there takes the request
-// or if slots are scarce there. Without a placement and a reason, the choice did not stand.
-func (placer *placer) choose(choice *choice, excluded []string, now time.Time) (*placement, *exchange.Unplaced) {
+// selectAndBegin begins an attempt on the cheapest server of the prompt's subset, which is the
+// same on all nodes. It widens the subset only if none of its servers accepts the request or if
+// slots are scarce. If it returns neither a placement nor a reason, a concurrent placement
+// invalidated the decision.
+func (placer *placer) selectAndBegin(selection *selection, excluded []string, now time.Time) (*placement, *exchange.Unplaced) {
 	query := placer.query(now)
-	for query.Most = neighbourhood; ; query.Most *= widening {
-		choice.candidates = placer.look(query, excluded, now)
-		all := len(choice.candidates) < query.Most
-		for placer.decide(choice, all) {
-			placed := placer.begin(choice, query, now)
-			if placed == nil || placer.mayTake(choice.chosen(), now) {
+	for query.Limit = subsetSize; ; query.Limit *= subsetGrowth {
+		selection.candidates = placer.loadCandidates(query, excluded, now)
+		all := len(selection.candidates) < query.Limit
+		for placer.selectCandidate(selection, all) {
+			placed := placer.begin(selection, query, now)
+			if placed == nil || placer.takeFromLimit(selection.chosen(), now) {
 				return placed, nil
 			}
 			placed.attempt.End(exchange.ResultNeutral, now)
 		}
-		if len(choice.candidates) == 0 {
+		if len(selection.candidates) == 0 {
 			return nil, &exchange.Unplaced{Reason: "no server is known"}
 		}
 		if all {
-			return nil, placer.unplaced(choice.candidates, choice.decision, now)
+			return nil, placer.unplaced(selection.candidates, selection.decision, now)
 		}
 	}
 }
 
-// elsewhere reports whether a server of the neighbourhood takes the request now that has not been
-// tried and is not the given one.
-func (placer *placer) elsewhere(server string) bool {
+// hasAlternative reports whether the subset has another server that was not yet tried and
+// accepts the request now.
+func (placer *placer) hasAlternative(server string) bool {
 	now := boottime.Now()
-	choice := &choice{scheduler: routing.NewScheduler(placer.scorers()...), request: placer.routingRequest()}
+	selection := &selection{scheduler: routing.NewScheduler(placer.scorers()...), request: placer.routingRequest()}
 	query := placer.query(now)
-	query.Most = neighbourhood
+	query.Limit = subsetSize
 	excluded := append(slices.Clone(placer.excluded), server)
-	choice.candidates = placer.look(query, excluded, now)
-	choice.schedule()
-	return choice.decision.Index >= 0
+	selection.candidates = placer.loadCandidates(query, excluded, now)
+	selection.schedule()
+	return selection.decision.Index >= 0
 }
 
-// look returns the servers as they are now, with what is known of the prompt at each.
-func (placer *placer) look(query backend.Query, excluded []string, now time.Time) []routing.Candidate {
+// loadCandidates returns the current state of the servers, annotated for the request.
+func (placer *placer) loadCandidates(query backend.Query, excluded []string, now time.Time) []routing.Candidate {
 	candidates := placer.proxy.set.Candidates(nil, query, now)
 	routing.Exclude(candidates, excluded)
-	placer.limit(candidates, now)
+	placer.markLimited(candidates, now)
 	if placer.prompt() != nil {
 		placer.annotate(candidates, now)
 	}
-	placer.separate(candidates)
+	placer.isolateSuspect(candidates)
 	return candidates
 }
 
-// decide reports whether one of the candidates is best. If they are all that there are, one that
-// rests is better than none, but it is only probed: all that come at once would fail with it.
-func (placer *placer) decide(choice *choice, all bool) bool {
-	choice.schedule()
-	if !all && (choice.decision.Index < 0 || routing.Scarce(choice.candidates)) {
+// selectCandidate runs the scheduler and reports whether it chose a candidate. If the candidates
+// are all servers of the service and none is accepted, those with an open circuit breaker become
+// eligible. Each of them gets one probe at a time, since all concurrent requests would fail with it.
+func (placer *placer) selectCandidate(selection *selection, all bool) bool {
+	selection.schedule()
+	if !all && (selection.decision.Index < 0 || routing.SlotsScarce(selection.candidates)) {
 		return false
 	}
-	if choice.decision.Index < 0 {
-		choice.lastResort = true
-		for i := range choice.candidates {
-			choice.candidates[i].Resting = false
+	if selection.decision.Index < 0 {
+		selection.lastResort = true
+		for i := range selection.candidates {
+			selection.candidates[i].BreakerOpen = false
 		}
-		choice.schedule()
+		selection.schedule()
 	}
-	return choice.decision.Index >= 0
+	return selection.decision.Index >= 0
 }
 
-// explain says what decided the placement.
-func (placer *placer) explain(c *choice, placed *placement, looks int) Choice {
-	explained := Choice{
-		Chosen: placed.chosen, Terms: c.scheduler.Terms(c.request, &placed.chosen), Deferred: placed.deferred,
-		PassedOver: passedOver(c.candidates), Looks: looks, LastResort: c.lastResort,
+// describe returns the record of a placement for the Recorder.
+func (placer *placer) describe(s *selection, placed *placement, rounds int) PlacementDecision {
+	decision := PlacementDecision{
+		Chosen: placed.chosen, Terms: s.scheduler.Terms(s.request, &placed.chosen), Deferred: placed.deferred,
+		OverLimit: countLimited(s.candidates), Rounds: rounds, LastResort: s.lastResort,
 	}
-	if c.decision.Next >= 0 {
-		next := &c.candidates[c.decision.Next]
-		explained.Next, explained.NextTerms = next.Endpoint, c.scheduler.Terms(c.request, next)
+	if s.decision.Next >= 0 {
+		next := &s.candidates[s.decision.Next]
+		decision.Next, decision.NextTerms = next.Endpoint, s.scheduler.Terms(s.request, next)
 	}
-	return explained
+	return decision
 }
 
-// returnSpread is the part of a rest over which the callers that were refused for it spread
-// their return.
-const returnSpread = 0.25
+// retryJitter is the fraction of a backoff over which the retries of refused callers are spread.
+const retryJitter = 0.25
 
-// unplaced says why no candidate takes the request. To wait helps only if one of them may take
-// it while the request waits. If all that are left have asked for rest, the caller is told when
-// the first of them will be back; callers return one after the other, since the server starts
-// with few.
+// unplaced returns why no candidate accepts the request. Waiting helps only if a candidate can
+// become available while the request waits. If all remaining servers have requested a backoff,
+// RetryAfter is the end of the shortest one, plus jitter, since servers accept few requests at
+// first after a backoff.
 func (placer *placer) unplaced(candidates []routing.Candidate, decision routing.Decision, now time.Time) *exchange.Unplaced {
-	unplaced := &exchange.Unplaced{Reason: "every server is " + string(decision.Refused), Lasting: true}
+	unplaced := &exchange.Unplaced{Reason: "every server is " + string(decision.LastRejection), Permanent: true}
 	tried := false
 	var limited []uint64
 	shortest := time.Duration(math.MaxInt64)
 	for i := range candidates {
 		switch c := &candidates[i]; {
 		case c.Leaving:
-		case c.LimitWait > 0 && !c.Excluded && c.RestLeft == 0:
+		case c.LimitWait > 0 && !c.Excluded && c.BackoffLeft == 0:
 			limited, shortest = append(limited, backend.ServerKey(c.Endpoint)), min(shortest, c.LimitWait)
-		case c.RestLeft > 0:
-			if unplaced.RetryAfter == 0 || c.RestLeft < unplaced.RetryAfter {
-				unplaced.RetryAfter = c.RestLeft
+		case c.BackoffLeft > 0:
+			if unplaced.RetryAfter == 0 || c.BackoffLeft < unplaced.RetryAfter {
+				unplaced.RetryAfter = c.BackoffLeft
 			}
 		case c.Excluded:
 			tried = true
@@ -295,68 +299,69 @@
 		}
 	}
 	if len(limited) > 0 {
-		return placer.overLimits(unplaced, limited, shortest, now)
+		return placer.allOverLimit(unplaced, limited, shortest, now)
 	}
 	if tried {
-		// A new try may go there.
+		// A retry by the caller may use a server that this request has already tried.
 		unplaced.RetryAfter = 0
 	}
-	unplaced.Lasting = unplaced.RetryAfter == 0 || unplaced.RetryAfter > placer.admitted.route.TargetLatency/placementPart
-	unplaced.RetryAfter += time.Duration(returnSpread * draw(placer.admitted.request.ID) * float64(unplaced.RetryAfter))
+	unplaced.Permanent = unplaced.RetryAfter == 0 || unplaced.RetryAfter > placer.admitted.route.TargetLatency/placementWaitDivisor
+	unplaced.RetryAfter += time.Duration(retryJitter * hashFraction(placer.admitted.request.ID) * float64(unplaced.RetryAfter))
 	return unplaced
 }
 
-// draw returns a number from 0 to 1 that is a request's own.
-func draw(id string) float64 { return float64(prefix.KeyOf(id)) / math.MaxUint64 }
+// hashFraction maps a request ID to a number from 0 to 1.
+func hashFraction(id string) float64 { return float64(prefix.KeyOf(id)) / math.MaxUint64 }
 
-// annotate adds what is known of the prompt's parts at each server.
+// annotate fills in the candidates' affinity, cache hits, import sources and replaced loss.
 func (placer *placer) annotate(candidates []routing.Candidate, now time.Time) {
 	key := placer.affinityKey()
-	clear(placer.stored)
+	clear(placer.storedTokens)
 	for index := range candidates {
 		candidate := &candidates[index]
 		candidate.Affinity = prefix.Weight(key, candidate.Endpoint)
-		pieces := placer.named(candidate.Version)
-		candidate.HitBlocks = placer.proxy.ledger.Held(candidate.Address, candidate.Endpoint, pieces, now)
+		pieces := placer.piecesAt(candidate.Version)
+		candidate.HitBlocks = placer.proxy.ledger.CachedTokens(candidate.Address, candidate.Endpoint, pieces, now)
 		candidate.ReplacedLoss = placer.proxy.replacedLoss(placer.prompt().Model, candidate.Version, now)
 	}
 	placer.annotateSources(candidates, now)
 }
 
-// begin counts the attempt at the chosen server, or returns nil if the choice does not stand.
-func (placer *placer) begin(choice *choice, query backend.Query, now time.Time) *placement {
-	chosen := *choice.chosen()
-	deferred, tokens := placer.deferred(choice.request, &chosen, now), 0
+// begin registers an attempt on the chosen server. It returns nil if the decision is no longer
+// valid.
+func (placer *placer) begin(selection *selection, query backend.Query, now time.Time) *placement {
+	chosen := *selection.chosen()
+	deferred, tokens := placer.deferred(selection.request, &chosen, now), 0
 	if prompt := placer.prompt(); prompt != nil {
 		tokens = max(0, prompt.Tokens-max(chosen.HitBlocks, chosen.ImportBlocks))
 	}
-	claim := backend.Claim{Query: query, Chosen: chosen, Tokens: tokens, Deferred: deferred, Holds: func(current *routing.Candidate) bool {
-		stands := choice.stands(current)
+	claim := backend.Placement{Query: query, Chosen: chosen, Tokens: tokens, Deferred: deferred, StillValid: func(current *routing.Candidate) bool {
+		valid := selection.stillValid(current)
 		chosen = *current
-		return stands
+		return valid
 	}}
 	attempt := placer.proxy.set.Begin(claim, now)
 	if attempt == nil {
 		return nil
 	}
-	return &placement{placer: placer, chosen: chosen, attempt: attempt, tokens: tokens, deferred: deferred, begun: now, suspended: boottime.Suspended()}
+	return &placement{placer: placer, chosen: chosen, attempt: attempt, prefillTokens: tokens, deferred: deferred, placedAt: now, suspendedAtPlacement: boottime.Suspended()}
 }
 
 func (placer *placer) scorers() []routing.Scorer {
 	if placer.prompt() == nil {
-		return []routing.Scorer{routing.TurnScorer{}, routing.DistanceScorer{}, routing.FailureScorer{}, routing.CompanyScorer{}}
+		return []routing.Scorer{routing.ConcurrencyScorer{}, routing.DistanceScorer{}, routing.FailureScorer{}, routing.IsolationScorer{}}
 	}
-	return []routing.Scorer{routing.WorkScorer{}, routing.WaitScorer{}, routing.CopyScorer{}, routing.DistanceScorer{}, routing.FailureScorer{}, routing.ReplacedScorer{}, routing.CompanyScorer{}}
+	return []routing.Scorer{routing.WorkScorer{}, routing.WaitScorer{}, routing.CopyScorer{}, routing.DistanceScorer{}, routing.FailureScorer{}, routing.ReplacedScorer{}, routing.IsolationScorer{}}
 }
 
 func (placer *placer) routingRequest() *routing.Request {
 	request := &routing.Request{
-		WaitWeight:  1,
-		WorkWeight:  workWeight,
-		TurnSeconds: plainTurn,
-		Bytes:       len(placer.admitted.request.Body),
-		FailureCost: placer.admitted.route.TargetLatency.Seconds(),
-		AnswerWorth: answerWorth * placer.admitted.route.TargetLatency.Seconds(),
+		WaitWeight:      1,
+		WorkWeight:      workWeight,
+		ConcurrencyCost: plainRequestCost,
+		Bytes:           len(placer.admitted.request.Body),
+		FailureCost:     placer.admitted.route.TargetLatency.Seconds(),
+		AnswerValue:     answerValueFactor * placer.admitted.route.TargetLatency.Seconds(),
 	}
 	prompt := placer.prompt()
 	if prompt == nil {
@@ -365,16 +370,16 @@
 	request.PromptTokens = prompt.Tokens
 	request.BlockTokens = 1
 	request.Blocks = placer.sharedTokens()
-	request.PrefillTokensPerSecond = placer.proxy.pace.tokensPerSecond()
-	request.Draw = uint64(prefix.KeyOf(placer.admitted.request.ID))
+	request.PrefillTokensPerSecond = placer.proxy.prefillRate.tokensPerSecond()
+	request.SampleSeed = uint64(prefix.KeyOf(placer.admitted.request.ID))
 	request.SlotSeconds = placer.proxy.slotTime.seconds()
-	request.ImportTokensPerSecond = importSpeed(placer.admitted.service.Engine, placer.store())
+	request.ImportTokensPerSecond = storeImportRate(placer.admitted.service.Engine, placer.store())
 	return request
 }
 
-// importSpeed is how many tokens of kept KV cache an engine takes from the store
-// in a second. The store's own link is shared by all engines, so it counts too.
-func importSpeed(engine *catalog.Engine, store *catalog.PrefixStore) float64 {
+// storeImportRate returns how many tokens per second an engine can import from a KV cache
+// store. It is bounded by the link of the engine and by that of the store.
+func storeImportRate(engine *catalog.Engine, store *catalog.PrefixStore) float64 {
 	if engine == nil || store == nil || engine.TokenBytes <= 0 {
 		return 0
 	}
@@ -385,60 +390,60 @@
 	return bits / 8 / engine.TokenBytes
 }
 
-// query says which servers may serve the request.
+// query returns the server query for the request.
 func (placer *placer) query(now time.Time) backend.Query {
 	query := backend.Query{Service: placer.admitted.service.Name, Distance: placer.proxy.distance}
 	prompt := placer.prompt()
 	if prompt == nil {
-		query.Near = uint64(prefix.KeyOf(placer.admitted.request.ID))
+		query.HashPoint = uint64(prefix.KeyOf(placer.admitted.request.ID))
 		return query
 	}
-	query.Near = uint64(placer.neighbourhoodKey())
+	query.HashPoint = uint64(placer.subsetKey())
 	query.Model = prompt.Model
 	query.MinimumVersion = placer.proxy.minimumVersion(prompt.Model, now)
 	return query
 }
 
-// minimumVersion is the oldest version of a model's weights that may serve now.
-// It follows the newest belief, not the one that the request was admitted by.
+// minimumVersion returns the oldest version of a model's weights that may serve now.
+// It uses the latest replica, not the one with which the request was admitted.
 func (proxy *Proxy) minimumVersion(model string, now time.Time) int64 {
-	belief := proxy.belief.Load()
+	replica := proxy.replica.Load()
 	tolerated := proxy.bounds.Weights - weightsMargin
-	if now.Sub(belief.Disturbed) < tolerated {
+	if now.Sub(replica.DisruptedAt) < tolerated {
 		return 0
 	}
-	// What was found at the first reading may have been named at any time before.
-	found := proxy.started.Add(proxy.bounds.Contact - contactMargin - tolerated)
-	return belief.Weights[model].Required(now.Add(-tolerated), found)
+	// A version found by the first read may have been released at any earlier time.
+	firstReadAt := proxy.started.Add(proxy.bounds.StartupGrace - startupGraceMargin - tolerated)
+	return replica.Weights[model].Required(now.Add(-tolerated), firstReadAt)
 }
 
-// replacedLoss is the share of an answer's worth that is lost if it is begun now on
-// a version of a model's weights.
+// replacedLoss returns the share of an answer's value that is lost if it is begun now
+// with a version of a model's weights.
 func (proxy *Proxy) replacedLoss(model string, version int64, now time.Time) float64 {
-	naming, replaced := proxy.belief.Load().Weights[model].After(version)
-	if !replaced || (!naming.NotNamedAt.IsZero() && now.Sub(naming.NotNamedAt) < proxy.bounds.ReplacedGrace) {
+	release, replaced := proxy.replica.Load().Weights[model].After(version)
+	if !replaced || (!release.UnreleasedAt.IsZero() && now.Sub(release.UnreleasedAt) < proxy.bounds.ReplacedGrace) {
 		return 0
 	}
 	return proxy.bounds.ReplacedLoss
 }
 
-// lastStart is when a request must have begun on a version of a model's weights;
-// zero if it is the newest.
-func (proxy *Proxy) lastStart(model string, version int64) time.Time {
-	belief := proxy.belief.Load()
-	naming, replaced := belief.Weights[model].After(version)
+// startDeadline returns the time by which a request must have begun on a version of a
+// model's weights, or zero if the version is the newest.
+func (proxy *Proxy) startDeadline(model string, version int64) time.Time {
+	replica := proxy.replica.Load()
+	release, replaced := replica.Weights[model].After(version)
 	if !replaced {
 		return time.Time{}
 	}
-	since := naming.Since(belief.Disturbed)
-	if !since.IsZero() {
-		return since.Add(proxy.bounds.Weights - startMargin)
+	effectiveAt := release.EffectiveAt(replica.DisruptedAt)
+	if !effectiveAt.IsZero() {
+		return effectiveAt.Add(proxy.bounds.Weights - startMargin)
 	}
-	// It may have been named at any time before the start; but what was disturbed
-	// since counts from then, as in minimumVersion.
-	last := proxy.started.Add(proxy.bounds.Contact - startMargin)
-	if disturbed := belief.Disturbed.Add(proxy.bounds.Weights - startMargin); disturbed.After(last) {
-		return disturbed
+	// The newer version may have been released at any time before this node started, but a
+	// disruption of the store since then restarts the bound, as in minimumVersion.
+	deadline := proxy.started.Add(proxy.bounds.StartupGrace - startMargin)
+	if afterDisruption := replica.DisruptedAt.Add(proxy.bounds.Weights - startMargin); afterDisruption.After(deadline) {
+		return afterDisruption
 	}
-	return last
+	return deadline
 }
--- a/internal/proxy/placer_bench_test.go
+++ b/internal/proxy/placer_bench_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// BenchmarkPlace is the time and the allocations of one placement among so many servers.
+// BenchmarkPlace measures the time and the allocations of one placement by number of servers.
 func BenchmarkPlace(b *testing.B) {
 	for _, servers := range []int{24, 90, 240, 720, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			placer := placing(500, servers, 3)
+			placer := newTestPlacer(500, servers, 3)
 			b.ReportAllocs()
 			for b.Loop() {
 				clear(placer.pieces)
@@ -23,15 +23,15 @@
 	}
 }
 
-// BenchmarkPlaceOnAllProcessors is the time of one placement, while all processors place requests
-// with the same prompt among so many servers.
+// BenchmarkPlaceOnAllProcessors measures the time of one placement while all processors place
+// requests with the same prompt, by number of servers.
 func BenchmarkPlaceOnAllProcessors(b *testing.B) {
 	for _, servers := range []int{12, 9_998} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			p := placing(500, servers, 3)
+			p := newTestPlacer(500, servers, 3)
 			b.RunParallel(func(each *testing.PB) {
 				for number := 0; each.Next(); number++ {
-					placement, unplaced := p.sibling(number).Place(nil)
+					placement, unplaced := p.withRequestID(number).Place(nil)
 					if unplaced != nil {
 						b.Error(unplaced.Reason)
 						return
--- a/internal/proxy/prompt.go
+++ b/internal/proxy/prompt.go
@@ -7,7 +7,7 @@
 	"github.com/cloverrail/cloverrail/internal/residency"
 )
 
-// prompt is nil for requests to plain services.
+// prompt returns the request's prompt, or nil for requests to plain services.
 func (placer *placer) prompt() *Prompt {
 	if placer.admitted.service.Engine == nil {
 		return nil
@@ -15,22 +15,22 @@
 	return placer.admitted.request.Prompt
 }
 
-// named returns the shared parts as they are named at a version.
-func (placer *placer) named(version int64) []residency.Piece {
+// piecesAt returns the cache keys of the shared parts at a version of the weights.
+func (placer *placer) piecesAt(version int64) []residency.Piece {
 	if pieces, found := placer.pieces[version]; found {
 		return pieces
 	}
 	salt := placer.salt(version)
 	pieces := []residency.Piece{}
-	for _, part := range placer.shared() {
+	for _, part := range placer.sharedParts() {
 		pieces = append(pieces, residency.Piece{Key: residency.NewKey(salt, part.ID), Tokens: part.Tokens})
 	}
 	placer.pieces[version] = pieces
 	return pieces
 }
 
-// shared returns the parts that other requests may have in common with this one.
-func (placer *placer) shared() []Part {
+// sharedParts returns the parts that other requests may share: all but the last.
+func (placer *placer) sharedParts() []Part {
 	parts := placer.admitted.request.Prompt.Parts
 	if len(parts) == 0 {
 		return nil
@@ -38,36 +38,39 @@
 	return parts[:len(parts)-1]
 }
 
-// sharedTokens is the length of the shared parts.
+// sharedTokens returns the length of the shared parts in tokens.
 func (placer *placer) sharedTokens() int {
 	tokens := 0
-	for _, part := range placer.shared() {
+	for _, part := range placer.sharedParts() {
 		tokens += part.Tokens
 	}
 	return tokens
 }
 
-// affinityKey is the last shared part: requests that share it, share all before.
+// affinityKey returns the rendezvous key of the last shared part. Requests that share
+// this part also share all parts before it.
 func (placer *placer) affinityKey() prefix.Hash {
-	shared := placer.shared()
+	shared := placer.sharedParts()
 	if len(shared) == 0 {
 		return prefix.KeyOf(placer.admitted.request.ID)
 	}
-	return prefix.KeyOf(placer.wall() + "/" + shared[len(shared)-1].ID)
+	return prefix.KeyOf(placer.cacheScope() + "/" + shared[len(shared)-1].ID)
 }
 
-// neighbourhoodKey is the first shared part: requests that share it choose from the same
-// servers, so that it is read in few places and fetched from near ones.
-func (placer *placer) neighbourhoodKey() prefix.Hash {
-	shared := placer.shared()
+// subsetKey returns the key of the first shared part. Requests that share this part choose
+// from the same subset of servers, so that few servers compute it and others can import it
+// from nearby.
+func (placer *placer) subsetKey() prefix.Hash {
+	shared := placer.sharedParts()
 	if len(shared) == 0 {
 		return placer.affinityKey()
 	}
-	return prefix.KeyOf(placer.wall() + "/" + shared[0].ID)
+	return prefix.KeyOf(placer.cacheScope() + "/" + shared[0].ID)
 }
 
-// wall is the tenant's name if nothing that is cached for it may be shared.
-func (placer *placer) wall() string {
+// cacheScope returns the tenant's name if the tenant is isolated, which keeps its cached
+// prefixes from being shared with others, and else "".
+func (placer *placer) cacheScope() string {
 	tenant := placer.admitted.tenant
 	if tenant == nil || !tenant.Isolated {
 		return ""
@@ -75,10 +78,11 @@
 	return tenant.Name
 }
 
-// salt keeps cached prefixes of different walls, models and versions apart.
+// salt returns the salt that separates cached prefixes of different cache scopes, models
+// and versions.
 func (placer *placer) salt(version int64) string {
 	return prefix.Salt(nil, prefix.Identity{
-		Tenant:  placer.wall(),
+		Tenant:  placer.cacheScope(),
 		Model:   placer.prompt().Model,
 		Version: strconv.FormatInt(version, 10),
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy serves requests of opaque services: it finds the route, checks
-// the key, and carries the request to a server and the answer back, byte for
-// byte. It knows no protocol; adapters translate.
+// Package proxy serves requests to opaque services: it finds the route, checks the
+// API key, and forwards the request to a server and the response back unchanged. It
+// is independent of wire protocols, which are implemented by adapters.
 package proxy
 
 import (
@@ -21,150 +21,154 @@
 	"github.com/cloverrail/cloverrail/internal/residency"
 )
 
-// Part is one part of a prompt, shared with other requests or their own.
+// Part is one segment of a prompt. Requests with the same part ID share its content.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request tells of its prompt.
+// Prompt describes the prompt of a request.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt; Output, the most tokens to answer.
+	// Tokens is the length of the prompt, and Output the maximum length of the answer.
 	Tokens int
 	Output int
-	// Parts are in the order of the prompt. The last is the request's own.
+	// Parts are in prompt order. The last part is specific to the request.
 	Parts []Part
 }
 
 // Request is a caller's request.
 type Request struct {
-	// ID names this one try of the caller.
+	// ID identifies this attempt by the caller.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path and query as sent; Path, the path alone.
+	// Target is the path and query as sent, and Path the path alone.
 	Target string
 	Path   string
-	// Header holds what goes on to the server.
+	// Header holds the header fields to forward to the server.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's key, or "".
+	// Key is the caller's API key, or "".
 	Key string
-	// Patience is how long the caller waits from Arrived on; 0 means no bound.
-	Patience time.Duration
-	Arrived  time.Time
+	// CallerTimeout is how long the caller waits from Arrived on; 0 means no bound.
+	CallerTimeout time.Duration
+	Arrived       time.Time
 	// Prompt is nil for requests without one.
 	Prompt *Prompt
-	// ResumeAfter is the last event that the caller has of an earlier answer.
+	// ResumeAfter is the ID of the last event that the caller received of an earlier
+	// response, or nil.
 	ResumeAfter *int64
 }
 
-// Dispatch is one attempt as it goes to a server.
+// Dispatch is one attempt as it is sent to a server.
 type Dispatch struct {
 	Request *Request
-	// Instance must be the id of the server that answers, and Server names its incarnation.
+	// Instance is the ID that the responding server must have, and Server the name of its
+	// incarnation.
 	Instance string
 	Server   string
 	Address  string
 	Stream   bool
 	// Tenant is empty on public routes.
 	Tenant string
-	// Deadline is when the server may stop working.
+	// Deadline is when the server may abandon the request.
 	Deadline time.Time
-	// Urgency is from 0, the most urgent, to 9.
+	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// Version must be the loaded version of the prompt's model.
+	// Version is the version of the prompt's model that the server must have loaded.
 	Version int64
-	// Salt keeps cached prefixes of different walls and versions apart.
+	// Salt separates cached prefixes of different cache scopes and versions.
 	Salt string
-	// FetchFrom and SaveTo name holders of kept KV cache, or are "".
+	// FetchFrom and SaveTo are addresses to import KV cache from and to save it to, or "".
 	FetchFrom string
 	SaveTo    string
-	// Resumes says that the stream goes on after the event After.
+	// Resumes is set if the stream continues after the event with the ID After.
 	Resumes bool
 	After   int64
-	// Repeatable says that a kept connection may be used: should it break, the
-	// request can be sent again.
+	// Repeatable is set if the request may be sent again. Only such requests may use a
+	// keep-alive connection, which can break after the request was sent.
 	Repeatable bool
 }
 
-// Servers sends attempts. Its errors are those of package exchange.
+// Servers sends attempts. Send returns the error types of package exchange.
 type Servers interface {
 	Send(ctx context.Context, dispatch Dispatch) (*exchange.Reply, error)
-	// Refuses reports whether nothing takes connections at an address, for certain.
-	Refuses(address string) bool
+	// RefusesConnections reports whether it is certain that nothing accepts connections
+	// at an address.
+	RefusesConnections(address string) bool
 }
 
-// Bounds are the promises that the proxy keeps, in time.
+// Bounds are the time limits that the proxy guarantees.
 type Bounds struct {
-	// Revocation is the longest time for which a removed key may still be served.
+	// Revocation is the maximum time for which a removed key may still be accepted.
 	Revocation time.Duration
-	// Configuration is the longest time for which an older declaration may be used.
+	// Configuration is the maximum time for which an outdated declaration may be used.
 	Configuration time.Duration
-	// Weights is the longest time for which older weights may serve.
+	// Weights is the maximum time for which replaced weights may serve.
 	Weights time.Duration
-	// ReplacedGrace is the time after the naming of newer weights in which answers on
-	// older ones are worth as much, and ReplacedLoss the share of their worth that is
-	// lost after it.
+	// ReplacedGrace is the time after the release of newer weights during which answers
+	// on older ones keep their full value, and ReplacedLoss the share of the value that
+	// is lost after that.
 	ReplacedGrace time.Duration
 	ReplacedLoss  float64
-	// Contact is the time after its start in which a node is not yet held to what
-	// it cannot know.
-	Contact time.Duration
+	// StartupGrace is the time after startup during which the guarantees do not cover
+	// changes that the node cannot know yet.
+	StartupGrace time.Duration
 }
 
 const (
-	// answerMargin is kept free below the bounds for what happens after a check.
+	// answerMargin is subtracted from the bounds for the time between a check and its use.
 	answerMargin = 500 * time.Millisecond
-	// weightsMargin is the longest wait in a server's queue that is allowed for.
+	// weightsMargin is subtracted from the bound on weights for the wait in a server's queue.
 	weightsMargin = 1500 * time.Millisecond
-	// startMargin is kept free below the bound on weights for ending a request that
+	// startMargin is subtracted from the bound on weights for cancelling a request that
 	// has not begun.
 	startMargin = 300 * time.Millisecond
-	// contactMargin is kept free below Bounds.Contact. Until then a node tolerates
-	// any weights, since it cannot know when the newest were named.
-	contactMargin = 300 * time.Millisecond
-	// firstWait is how long after its start a node lets a request wait for the first
-	// reading of the declaration, and firstLook is the time between two looks.
-	firstWait = 300 * time.Millisecond
-	firstLook = 5 * time.Millisecond
-	// soon is when to come back for a node that is catching up.
-	soon = 100 * time.Millisecond
+	// startupGraceMargin is subtracted from Bounds.StartupGrace. Until then a node accepts any
+	// weights, since it cannot know when the newest were released.
+	startupGraceMargin = 300 * time.Millisecond
+	// maxConfigurationWait is how long after startup requests may wait for the first read
+	// of the declaration, and configurationPollInterval the interval between checks.
+	maxConfigurationWait      = 300 * time.Millisecond
+	configurationPollInterval = 5 * time.Millisecond
+	// catchUpRetryAfter is the retry delay for callers while the node is stopping or its
+	// configuration is missing or stale.
+	catchUpRetryAfter = 100 * time.Millisecond
 )
 
 // Proxy serves requests.
 type Proxy struct {
-	belief   *catalog.Holder
-	set      *backend.Set
-	servers  Servers
-	bounds   Bounds
-	retries  *Retries
-	distance backend.Distance
-	recorder Recorder
-	started  time.Time
-	splits   splits
-	pace     *pace
-	slotTime *slotTime
-	ledger   *residency.Ledger
-	limiter  *quota.Limiter
-	limits   *quota.Servers
-	requests *quarantine.Ledger
-	unsure   quarantine.Unsure
-	lapse    time.Duration
-	// replacing is held by a placement whose choice did not stand.
-	replacing sync.Mutex
-	asking    sync.Mutex
-	// asked is how a server was asked last whether it takes connections, by address.
-	asked    map[string]*question
+	replica      *catalog.AtomicReplica
+	set          *backend.Set
+	servers      Servers
+	bounds       Bounds
+	retries      *Retries
+	distance     backend.Distance
+	recorder     Recorder
+	started      time.Time
+	splitter     splitter
+	prefillRate  *prefillRate
+	slotTime     *slotTime
+	ledger       *residency.Ledger
+	limiter      *quota.Limiter
+	serverLimits *quota.ServerLimits
+	quarantine   *quarantine.Ledger
+	unconfirmed  quarantine.Unconfirmed
+	entryTTL     time.Duration
+	// conflictMutex serializes placements that lost their first round to another placement.
+	conflictMutex sync.Mutex
+	probesMutex   sync.Mutex
+	// probes holds the latest connection probe of each server, by address.
+	probes   map[string]*connectionProbe
 	stopping chan struct{}
 	open     atomic.Int64
 	refusing atomic.Bool
 }
 
-// Options are the parts of a proxy.
+// Options are the dependencies and settings of a Proxy.
 type Options struct {
-	Belief   *catalog.Holder
+	Replica  *catalog.AtomicReplica
 	Set      *backend.Set
 	Servers  Servers
 	Bounds   Bounds
@@ -173,89 +177,91 @@
 	Recorder Recorder
 	Ledger   *residency.Ledger
 	Limiter  *quota.Limiter
-	// Limits is what servers take, by their own word. Servers are named by their
+	// ServerLimits are the request limits that servers advertise, by backend.ServerKey.
+	ServerLimits *quota.ServerLimits
+	// Quarantine tracks which requests have crashed servers, and Unconfirmed tells its
+	// verdicts whether a crash is not yet confirmed. Servers are identified by their
 	// backend.ServerKey.
-	Limits *quota.Servers
-	// Requests is what requests have done to servers, and Unsure what its verdicts ask of
-	// servers, which are named by their backend.ServerKey.
-	Requests *quarantine.Ledger
-	Unsure   quarantine.Unsure
-	// Lapse is the time after which the entry of a server that has ended is gone.
-	Lapse time.Duration
+	Quarantine  *quarantine.Ledger
+	Unconfirmed quarantine.Unconfirmed
+	// EntryTTL is the time after which the registration of a crashed server has expired.
+	EntryTTL time.Duration
 }
 
-// New returns a proxy.
+// New returns a Proxy with the given options.
 func New(options Options) *Proxy {
 	return &Proxy{
-		belief:   options.Belief,
-		set:      options.Set,
-		servers:  options.Servers,
-		bounds:   options.Bounds,
-		retries:  options.Retries,
-		distance: options.Distance,
-		recorder: options.Recorder,
-		ledger:   options.Ledger,
-		limiter:  options.Limiter,
-		limits:   options.Limits,
-		requests: options.Requests,
-		unsure:   options.Unsure,
-		lapse:    options.Lapse,
-		asked:    map[string]*question{},
-		started:  boottime.Now(),
-		pace:     newPace(),
-		slotTime: newSlotTime(),
-		stopping: make(chan struct{}),
+		replica:      options.Replica,
+		set:          options.Set,
+		servers:      options.Servers,
+		bounds:       options.Bounds,
+		retries:      options.Retries,
+		distance:     options.Distance,
+		recorder:     options.Recorder,
+		ledger:       options.Ledger,
+		limiter:      options.Limiter,
+		serverLimits: options.ServerLimits,
+		quarantine:   options.Quarantine,
+		unconfirmed:  options.Unconfirmed,
+		entryTTL:     options.EntryTTL,
+		probes:       map[string]*connectionProbe{},
+		started:      boottime.Now(),
+		prefillRate:  newPrefillRate(),
+		slotTime:     newSlotTime(),
+		stopping:     make(chan struct{}),
 	}
 }
 
-// Abort ends all open requests. It is called once, when a stop has no time left.
+// Abort ends all open requests when a shutdown runs out of time. It must be called at
+// most once.
 func (proxy *Proxy) Abort() { close(proxy.stopping) }
 
-// Open returns the number of requests in service.
+// Open returns the number of open requests.
 func (proxy *Proxy) Open() int { return int(proxy.open.Load()) }
 
-// AwaitFirst waits until a node that has just started knows its declaration, but not
-// for long: callers reach it before it has read anything.
-func (proxy *Proxy) AwaitFirst(ctx context.Context) {
-	for proxy.unread() && ctx.Err() == nil && boottime.Since(proxy.started) < firstWait {
-		pause.For(ctx, firstLook)
+// AwaitConfiguration waits until the first declaration is loaded, at most until
+// maxConfigurationWait after startup. Callers may reach a node before it has read one.
+func (proxy *Proxy) AwaitConfiguration(ctx context.Context) {
+	for proxy.awaitingConfiguration() && ctx.Err() == nil && boottime.Since(proxy.started) < maxConfigurationWait {
+		pause.For(ctx, configurationPollInterval)
 	}
 }
 
-// unread reports whether no declaration was read yet.
-func (proxy *Proxy) unread() bool {
-	belief := proxy.belief.Load()
-	return belief == nil || belief.Snapshot == nil
+// awaitingConfiguration reports whether no declaration has been loaded yet.
+func (proxy *Proxy) awaitingConfiguration() bool {
+	replica := proxy.replica.Load()
+	return replica == nil || replica.Snapshot == nil
 }
 
-// Limits returns the bounds of what callers may send. Before they are known
-// nothing may be read.
+// Limits returns the size limits and timeouts of requests. Until they are known, no
+// request may be read.
 func (proxy *Proxy) Limits() (catalog.Limits, *failure.Failure) {
-	if proxy.unread() {
+	if proxy.awaitingConfiguration() {
 		return catalog.Limits{}, unconfigured()
 	}
-	return proxy.belief.Load().Snapshot.Limits, nil
+	return proxy.replica.Load().Snapshot.Limits, nil
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether load balancers should send requests to this node.
 func (proxy *Proxy) Ready(now time.Time) bool {
-	belief := proxy.belief.Load()
-	return belief != nil && belief.Snapshot != nil && belief.Fresh(now, proxy.bounds.Revocation-answerMargin)
+	replica := proxy.replica.Load()
+	return replica != nil && replica.Snapshot != nil && replica.Fresh(now, proxy.bounds.Revocation-answerMargin)
 }
 
-// admitted is a request that may be served, with what decided it.
+// admitted is a request that passed admission, with the configuration that applies to it.
 type admitted struct {
 	request  *Request
-	belief   *catalog.Belief
+	replica  *catalog.Replica
 	route    *catalog.Route
 	service  *catalog.Service
 	tenant   *catalog.Tenant
 	deadline time.Time
-	// print is the request's fingerprint, or 0 while nobody has asked for it.
+	// print caches the request's fingerprint; 0 if it has not been computed.
 	print quarantine.Fingerprint
 }
 
-// Serve carries a request to its end. The context ends when the caller leaves.
+// Serve processes a request to completion. The context must end when the caller
+// disconnects.
 func (proxy *Proxy) Serve(ctx context.Context, request *Request, caller exchange.Caller) exchange.Outcome {
 	proxy.open.Add(1)
 	defer proxy.open.Add(-1)
@@ -264,7 +270,7 @@
 		refusal = proxy.checkQuarantine(admitted, boottime.Now())
 	}
 	if refusal == nil {
-		refusal = proxy.checkLimit(admitted, boottime.Now())
+		refusal = proxy.checkRateLimit(admitted, boottime.Now())
 	}
 	if refusal != nil {
 		outcome := exchange.Outcome{Failure: refusal}
@@ -272,87 +278,87 @@
 		return outcome
 	}
 	proxy.retries.Deposit(admitted.service.Name, boottime.Now())
-	if proxy.limits.Active() {
-		proxy.limits.Asked(admitted.service.Name, boottime.Now())
+	if proxy.serverLimits.Active() {
+		proxy.serverLimits.Requested(admitted.service.Name, boottime.Now())
 	}
 	bounded, cancel := context.WithTimeout(ctx, boottime.Until(admitted.deadline))
 	defer cancel()
 	outcome := exchange.Run(bounded, proxy.exchange(admitted, caller))
 	if outcome.Failure == nil {
-		proxy.served(admitted, boottime.Now())
+		proxy.clearSuspicion(admitted, boottime.Now())
 	}
-	proxy.settleLimit(admitted, outcome, boottime.Now())
-	proxy.recorder.Request(request, admitted.route, admitted.belief.Snapshot.Version, outcome)
+	proxy.refundRateLimit(admitted, outcome, boottime.Now())
+	proxy.recorder.Request(request, admitted.route, admitted.replica.Snapshot.Version, outcome)
 	return outcome
 }
 
-// admit decides whether a request may be served. Only a node whose declaration
-// is certainly current says that a route or key does not exist.
+// admit checks whether a request may be served. Only a node whose declaration is known
+// to be current rejects a request because its route or key does not exist.
 func (proxy *Proxy) admit(request *Request, now time.Time) (*admitted, *failure.Failure) {
 	if proxy.refusing.Load() {
-		return nil, failure.New(failure.KindStopping, "this node stops", "send the request to another node").WithRetryAfter(soon)
+		return nil, failure.New(failure.KindStopping, "this node stops", "send the request to another node").WithRetryAfter(catchUpRetryAfter)
 	}
-	belief := proxy.belief.Load()
-	if belief == nil || belief.Snapshot == nil {
+	replica := proxy.replica.Load()
+	if replica == nil || replica.Snapshot == nil {
 		return nil, unconfigured()
 	}
-	current := belief.Fresh(now, proxy.bounds.Configuration)
-	route := belief.Snapshot.FindRoute(request.Host, request.Path)
+	current := replica.Fresh(now, proxy.bounds.Configuration)
+	route := replica.Snapshot.FindRoute(request.Host, request.Path)
 	if route == nil {
 		if !current {
-			return nil, catchingUp("this node's configuration may be out of date")
+			return nil, staleConfiguration("this node's configuration may be out of date")
 		}
 		return nil, failure.New(failure.KindNotFound, "no route fits the host and path", "declare a route, or correct the address")
 	}
-	tenant, refusal := proxy.authenticate(request, belief, route, now, current)
+	tenant, refusal := proxy.authenticate(request, replica, route, now, current)
 	if refusal != nil {
 		return nil, refusal
 	}
-	service := belief.Snapshot.Service(proxy.splits.choose(route))
+	service := replica.Snapshot.Service(proxy.splitter.next(route))
 	if service == nil {
 		return nil, failure.New(failure.KindNoEndpoint, "the route's service is not declared", "declare the service").WithRetryAfter(time.Second)
 	}
-	return &admitted{request: request, belief: belief, route: route, service: service, tenant: tenant, deadline: deadline(request, route)}, nil
+	return &admitted{request: request, replica: replica, route: route, service: service, tenant: tenant, deadline: deadline(request, route)}, nil
 }
 
-func (proxy *Proxy) authenticate(request *Request, belief *catalog.Belief, route *catalog.Route, now time.Time, current bool) (*catalog.Tenant, *failure.Failure) {
-	if route.Public || !belief.Snapshot.Keyed() {
+func (proxy *Proxy) authenticate(request *Request, replica *catalog.Replica, route *catalog.Route, now time.Time, current bool) (*catalog.Tenant, *failure.Failure) {
+	if route.Public || !replica.Snapshot.RequiresKeys() {
 		return nil, nil
 	}
-	// A key may have been taken away since the belief was true. The caller sent
-	// the request before now, so this check stands whenever the request goes out.
-	if !belief.Fresh(now, proxy.bounds.Revocation-answerMargin) {
-		return nil, catchingUp("this node cannot tell whether keys are still valid")
+	// The key may have been removed since the replica was current. The caller sent the
+	// request before now, so the result remains valid whenever the request is forwarded.
+	if !replica.Fresh(now, proxy.bounds.Revocation-answerMargin) {
+		return nil, staleConfiguration("this node cannot tell whether keys are still valid")
 	}
-	tenant := belief.Snapshot.TenantOf(request.Key)
+	tenant := replica.Snapshot.TenantOf(request.Key)
 	switch {
 	case tenant != nil:
 		return tenant, nil
 	case !current:
-		return nil, catchingUp("this node's configuration may be out of date")
+		return nil, staleConfiguration("this node's configuration may be out of date")
 	default:
 		return nil, failure.New(failure.KindUnauthorized, "the key is not known", "send a key that a tenant holds")
 	}
 }
 
 func unconfigured() *failure.Failure {
-	return catchingUp("this node has not read its configuration yet")
+	return staleConfiguration("this node has not read its configuration yet")
 }
 
-func catchingUp(problem string) *failure.Failure {
-	return failure.New(failure.KindNotConfigured, problem, "send the request to another node").WithRetryAfter(soon)
+func staleConfiguration(problem string) *failure.Failure {
+	return failure.New(failure.KindNotConfigured, problem, "send the request to another node").WithRetryAfter(catchUpRetryAfter)
 }
 
-// unboundedPatience is used where neither the caller nor the route sets a bound.
-const unboundedPatience = 10 * time.Minute
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
+const defaultTimeout = 10 * time.Minute
 
 func deadline(request *Request, route *catalog.Route) time.Time {
-	patience := request.Patience
-	if patience <= 0 {
-		patience = unboundedPatience
+	timeout := request.CallerTimeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	if route.Timeout > 0 && route.Timeout < patience {
-		patience = route.Timeout
+	if route.Timeout > 0 && route.Timeout < timeout {
+		timeout = route.Timeout
 	}
-	return request.Arrived.Add(patience)
+	return request.Arrived.Add(timeout)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -13,48 +13,48 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestAFleetKeepsItsRetryBudgetWithoutAsking(t *testing.T) {
+func TestRetryBudgetHoldsFleetWideWithoutCoordination(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		bounds := RetryBounds{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
-		begin := time.Unix(1000, 0)
+		start := time.Unix(1000, 0)
 		nodes := make([]*Retries, rapid.IntRange(1, 30).Draw(t, "nodes"))
 		for index := range nodes {
-			nodes[index] = NewRetries(bounds, begin)
+			nodes[index] = NewRetries(bounds, start)
 			nodes[index].Resize(len(nodes))
 		}
 		step := 100 * time.Millisecond
-		// Servers fail all the time, or now and then, when retries have been saved up.
+		// Servers fail either continuously, or intermittently so that retries are saved in between.
 		failingEvery := rapid.IntRange(1, 150).Draw(t, "failing every")
 		failingFor := rapid.IntRange(1, 30).Draw(t, "failing for")
-		requests, repeats := []int{}, []int{}
+		requests, retries := []int{}, []int{}
 		for tick := range 200 {
-			now := begin.Add(time.Duration(tick) * step)
+			now := start.Add(time.Duration(tick) * step)
 			if rapid.IntRange(0, 40).Draw(t, "restart") == 0 {
 				which := rapid.IntRange(0, len(nodes)-1).Draw(t, "which")
 				nodes[which] = NewRetries(bounds, now)
 			}
-			first, again := rapid.IntRange(0, 2*len(nodes)).Draw(t, "requests"), 0
-			for number := range first {
+			requestCount, retryCount := rapid.IntRange(0, 2*len(nodes)).Draw(t, "requests"), 0
+			for number := range requestCount {
 				nodes[number%len(nodes)].Deposit("s", now)
 			}
 			failing := tick%failingEvery < failingFor
 			for _, node := range nodes {
 				node.Resize(len(nodes))
-				for failing && node.Of("s").Withdraw(now) {
-					again++
+				for failing && node.ForService("s").Withdraw(now) {
+					retryCount++
 				}
 			}
-			requests, repeats = append(requests, first), append(repeats, again)
+			requests, retries = append(requests, requestCount), append(retries, retryCount)
 		}
 		window := int(bounds.Window / step)
 		for end := window; end <= len(requests); end++ {
 			allowed := bounds.Ratio*float64(sum(requests[end-window:end])) + bounds.Extra
-			// What was earned in the window before, or half a window before, may be spent in this one.
+			// Retries earned in the previous window, or up to half a window ago, may be spent in this one.
 			for _, earlier := range []int{window, window / 2} {
 				before := requests[max(0, end-window-earlier) : end-earlier]
 				allowed = max(allowed, bounds.Ratio*float64(sum(before))+bounds.Extra)
 			}
-			require.LessOrEqual(t, float64(sum(repeats[end-window:end])), allowed)
+			require.LessOrEqual(t, float64(sum(retries[end-window:end])), allowed)
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	return total
 }
 
-func TestTrafficIsSplitByWeightOverShortSpans(t *testing.T) {
+func TestSplitFollowsWeightsOverShortRuns(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		route := &catalog.Route{Name: "r"}
 		total := 0
@@ -79,11 +79,11 @@
 		if total == 0 || len(route.Split) == 1 {
 			return
 		}
-		splits := splits{}
+		splitter := splitter{}
 		counts := map[string]int{}
 		sent := rapid.IntRange(1, 300).Draw(t, "requests")
 		for range sent {
-			counts[splits.choose(route)]++
+			counts[splitter.next(route)]++
 		}
 		for _, share := range route.Split {
 			expected := float64(sent) * float64(share.Weight) / float64(total)
@@ -92,22 +92,22 @@
 	})
 }
 
-func TestThePaceIsLearnedFromLongPromptsOnly(t *testing.T) {
-	pace := newPace()
-	pace.measure(10, time.Second)
-	require.Equal(t, float64(assumedPrefill), pace.tokensPerSecond())
+func TestPrefillRateIgnoresShortPrompts(t *testing.T) {
+	prefillRate := newPrefillRate()
+	prefillRate.observe(10, time.Second)
+	require.Equal(t, float64(defaultPrefillRate), prefillRate.tokensPerSecond())
 	for range 100 {
-		pace.measure(5000, 100*time.Millisecond)
+		prefillRate.observe(5000, 100*time.Millisecond)
 	}
-	require.InDelta(t, 50_000, pace.tokensPerSecond(), 500)
+	require.InDelta(t, 50_000, prefillRate.tokensPerSecond(), 500)
 }
 
-// at returns a proxy that believes a declaration as of a time.
-func at(asOf time.Time, weights catalog.Namings) *Proxy {
-	holder := &catalog.Holder{}
-	holder.Store(&catalog.Belief{
+// newTestProxy returns a proxy whose replica was current at the given time.
+func newTestProxy(asOf time.Time, weights catalog.Releases) *Proxy {
+	holder := &catalog.AtomicReplica{}
+	holder.Store(&catalog.Replica{
 		AsOf:    asOf,
-		Weights: map[string]catalog.Namings{"m": weights},
+		Weights: map[string]catalog.Releases{"m": weights},
 		Snapshot: catalog.New(catalog.Declaration{
 			Version:  3,
 			Routes:   []catalog.Route{{Name: "r", Host: "h", PathPrefix: "/r/", Split: []catalog.Share{{Service: "s", Weight: 1}}, Timeout: time.Second}},
@@ -115,17 +115,17 @@
 			Tenants:  []catalog.TenantKeys{{Tenant: catalog.Tenant{Name: "one"}, Keys: []string{"k"}}},
 		}),
 	})
-	return New(Options{Belief: holder, Bounds: Bounds{Revocation: 5 * time.Second, Configuration: 2 * time.Second, Weights: 8 * time.Second, Contact: 3 * time.Second}})
+	return New(Options{Replica: holder, Bounds: Bounds{Revocation: 5 * time.Second, Configuration: 2 * time.Second, Weights: 8 * time.Second, StartupGrace: 3 * time.Second}})
 }
 
-func TestOnlyACurrentNodeSaysThatSomethingDoesNotExist(t *testing.T) {
+func TestStaleConfigurationNeverRejectsAsUnknown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for age, expected := range map[time.Duration]map[string]string{
 		time.Second:             {"k": "", "x": "unauthorized", "/none/": "not_found"},
 		3 * time.Second:         {"k": "", "x": "not_configured", "/none/": "not_configured"},
 		4600 * time.Millisecond: {"k": "not_configured", "x": "not_configured", "/none/": "not_configured"},
 	} {
-		proxy := at(now.Add(-age), nil)
+		proxy := newTestProxy(now.Add(-age), nil)
 		for what, kind := range expected {
 			request := &Request{Host: "h", Path: "/r/", Key: what, Arrived: now}
 			if what == "/none/" {
@@ -142,26 +142,26 @@
 	}
 }
 
-func TestOldWeightsServeOnlyForAWhile(t *testing.T) {
+func TestMinimumVersionAndStartDeadline(t *testing.T) {
 	start := time.Now()
-	proxy := at(start, catalog.Namings{{Version: 4}, {Version: 5, NotNamedAt: start}, {Version: 6, NotNamedAt: start.Add(4 * time.Second)}})
+	proxy := newTestProxy(start, catalog.Releases{{Version: 4}, {Version: 5, UnreleasedAt: start}, {Version: 6, UnreleasedAt: start.Add(4 * time.Second)}})
 	require.Equal(t, int64(0), proxy.minimumVersion("m", start.Add(time.Second)), "nobody knows when 4 was named")
 	require.Equal(t, int64(4), proxy.minimumVersion("m", start.Add(3*time.Second)))
 	require.Equal(t, int64(5), proxy.minimumVersion("m", start.Add(7*time.Second)))
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(11*time.Second)))
 	require.Zero(t, proxy.minimumVersion("other", start.Add(time.Hour)))
-	require.Zero(t, proxy.lastStart("m", 6), "the newest may serve for ever")
-	require.Equal(t, start.Add(12*time.Second-startMargin), proxy.lastStart("m", 5))
-	require.Equal(t, start.Add(8*time.Second-startMargin), proxy.lastStart("m", 4))
-	require.Equal(t, proxy.started.Add(3*time.Second-startMargin), proxy.lastStart("m", 3))
-	proxy.belief.Store(catalog.Disturb(proxy.belief.Load(), start.Add(9*time.Second)))
+	require.Zero(t, proxy.startDeadline("m", 6), "the newest may serve for ever")
+	require.Equal(t, start.Add(12*time.Second-startMargin), proxy.startDeadline("m", 5))
+	require.Equal(t, start.Add(8*time.Second-startMargin), proxy.startDeadline("m", 4))
+	require.Equal(t, proxy.started.Add(3*time.Second-startMargin), proxy.startDeadline("m", 3))
+	proxy.replica.Store(catalog.MarkDisrupted(proxy.replica.Load(), start.Add(9*time.Second)))
 	require.Zero(t, proxy.minimumVersion("m", start.Add(11*time.Second)), "nobody could be moved while the store was away")
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(16*time.Second)))
 }
 
-func TestAnswersOnReplacedWeightsAreWorthLessAfterTheGrace(t *testing.T) {
+func TestReplacedLossAppliesAfterGrace(t *testing.T) {
 	start := time.Now()
-	proxy := at(start, catalog.Namings{{Version: 4}, {Version: 5, NotNamedAt: start}, {Version: 6, NotNamedAt: start.Add(4 * time.Second)}})
+	proxy := newTestProxy(start, catalog.Releases{{Version: 4}, {Version: 5, UnreleasedAt: start}, {Version: 6, UnreleasedAt: start.Add(4 * time.Second)}})
 	proxy.bounds.ReplacedGrace, proxy.bounds.ReplacedLoss = 1500*time.Millisecond, 0.2
 	require.Zero(t, proxy.replacedLoss("m", 4, start.Add(1499*time.Millisecond)))
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 4, start.Add(1500*time.Millisecond)), 1e-9)
@@ -171,61 +171,62 @@
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 3, start), 1e-9, "nobody knows when 4 was named")
 }
 
-// What is admitted must have time to begin, or it would be ended as soon as it is sent.
-func TestWhatMayServeMayAlsoBegin(t *testing.T) {
+// Guards against selecting a version whose start deadline has already passed, which would cancel
+// the request as soon as it is sent.
+func TestEligibleVersionsHaveFutureStartDeadline(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		start := time.Now()
 		moment := func(name string) time.Time {
 			return start.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, name)) * time.Millisecond)
 		}
-		second := catalog.Naming{Version: 2}
+		second := catalog.Release{Version: 2}
 		if rapid.Bool().Draw(t, "seen being named") {
-			second.NotNamedAt = moment("named")
+			second.UnreleasedAt = moment("named")
 		}
-		proxy := at(start, catalog.Namings{{Version: 1}, second})
+		proxy := newTestProxy(start, catalog.Releases{{Version: 1}, second})
 		proxy.started = start
 		if rapid.Bool().Draw(t, "disturbed") {
-			proxy.belief.Store(catalog.Disturb(proxy.belief.Load(), moment("disturbance")))
+			proxy.replica.Store(catalog.MarkDisrupted(proxy.replica.Load(), moment("disturbance")))
 		}
 		now := moment("now")
 		if proxy.minimumVersion("m", now) <= 1 {
-			require.False(t, proxy.lastStart("m", 1).Before(now))
+			require.False(t, proxy.startDeadline("m", 1).Before(now))
 		}
 	})
 }
 
-func TestANodeThatHasJustStartedLetsRequestsWaitForItsDeclaration(t *testing.T) {
+func TestAwaitConfigurationIsBoundedFromStartup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		holder := &catalog.Holder{}
-		proxy := New(Options{Belief: holder})
+		holder := &catalog.AtomicReplica{}
+		proxy := New(Options{Replica: holder})
 		go func() {
 			time.Sleep(28 * time.Millisecond)
-			holder.Store(at(time.Now(), nil).belief.Load())
+			holder.Store(newTestProxy(time.Now(), nil).replica.Load())
 		}()
-		begun := time.Now()
-		proxy.AwaitFirst(t.Context())
-		require.Equal(t, 30*time.Millisecond, time.Since(begun))
-		proxy = New(Options{Belief: &catalog.Holder{}})
-		proxy.AwaitFirst(t.Context())
-		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "not for ever")
-		proxy.AwaitFirst(t.Context())
-		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "only after the start")
+		start := time.Now()
+		proxy.AwaitConfiguration(t.Context())
+		require.Equal(t, 30*time.Millisecond, time.Since(start))
+		proxy = New(Options{Replica: &catalog.AtomicReplica{}})
+		proxy.AwaitConfiguration(t.Context())
+		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "not for ever")
+		proxy.AwaitConfiguration(t.Context())
+		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "only after the start")
 	})
 }
 
-func TestTheTimeOfASlotIsLearnedAndForgotten(t *testing.T) {
+func TestSlotTimeEstimateTracksRecentRuns(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		s := newSlotTime()
 		for range rapid.IntRange(0, 100).Draw(t, "before") {
-			s.measure(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "took")) * time.Millisecond)
+			s.observe(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "took")) * time.Millisecond)
 		}
 		took := time.Duration(rapid.IntRange(10, 5000).Draw(t, "now")) * time.Millisecond
 		for range 400 {
-			s.measure(took)
+			s.observe(took)
 		}
 		require.InEpsilon(t, took.Seconds(), s.seconds(), 0.15)
 		learned := s.seconds()
-		s.measure(20 * time.Second)
+		s.observe(20 * time.Second)
 		require.Less(t, s.seconds()-learned, 0.51, "one run says little")
 	})
 }
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -15,50 +15,46 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// gone are servers that have all ended.
-type gone struct{ asked atomic.Int64 }
+// refusingServers are servers that have all crashed and refuse connections.
+type refusingServers struct{ probes atomic.Int64 }
 
-func (g *gone) Send(context.Context, Dispatch) (*exchange.Reply, error) { return nil, context.Canceled }
+func (g *refusingServers) Send(context.Context, Dispatch) (*exchange.Reply, error) {
+	return nil, context.Canceled
+}
 
-func (g *gone) Refuses(string) bool {
-	g.asked.Add(1)
+func (g *refusingServers) RefusesConnections(string) bool {
+	g.probes.Add(1)
 	return true
 }
 
-// settlements are the suspicions that were settled.
-type settlements struct {
-	unheeded
-	settled chan Suspicion
+// suspicionRecorder records resolved suspicions.
+type suspicionRecorder struct {
+	nopRecorder
+	resolved chan Suspicion
 }
 
-func (s *settlements) Settled(suspicion Suspicion) { s.settled <- suspicion }
+func (s *suspicionRecorder) SuspicionResolved(suspicion Suspicion) { s.resolved <- suspicion }
 
-// The incident: of two requests that a server ended under, before either had an answer's head, one
-// was known to the fleet 0.5 s later and the other seconds later, when the server's entry lapsed.
-//
-// How: a server is asked whether it takes connections once in half a second. Who was second took
-// that it was not to ask as if the server had been found to live.
-//
-// Cause: the time of the last question was remembered, and not its answer. If the second was the
-// one to blame, what ran beside it seemed to have run alone.
-//
-// Proof: the lines of suspicions that are settled, half a second and seconds after the break.
-func TestOneSignOfAnEndCountsForAllThatRanThere(t *testing.T) {
-	servers, recorder := &gone{}, &settlements{settled: make(chan Suspicion, 10)}
+// Guards against resolving only the first of several suspicions of one server. The server is probed
+// at most once per LivenessCheckDelay (0.5 s). When only the time of the last probe was cached, and
+// not its result, later requests took the server to be alive until its registration expired seconds
+// later. If the culprit was among them, the request resolved first seemed to have run alone.
+func TestConnectionProbeResultIsSharedByConcurrentSuspicions(t *testing.T) {
+	servers, recorder := &refusingServers{}, &suspicionRecorder{resolved: make(chan Suspicion, 10)}
 	set := backend.NewSet()
 	set.Update([]backend.Server{{Instance: "i-1", Address: "at i-1", Service: "s"}}, time.Now())
-	proxy := New(Options{Servers: servers, Set: set, Requests: quarantine.NewLedger(), Recorder: recorder, Lapse: time.Minute, Belief: &catalog.Holder{}})
+	proxy := New(Options{Servers: servers, Set: set, Quarantine: quarantine.NewLedger(), Recorder: recorder, EntryTTL: time.Minute, Replica: &catalog.AtomicReplica{}})
 	server := routing.Candidate{Endpoint: "i-1", Address: "at i-1"}
 	for _, body := range []string{"one", "other", "third"} {
 		proxy.suspect(&admitted{request: &Request{Body: []byte(body)}}, server, false, time.Now())
 	}
 	for range 3 {
 		select {
-		case suspicion := <-recorder.settled:
+		case suspicion := <-recorder.resolved:
 			require.True(t, suspicion.Ended)
-		case <-time.After(4 * SettleTime):
+		case <-time.After(4 * LivenessCheckDelay):
 			t.Fatal("not settled in time")
 		}
 	}
-	require.Equal(t, int64(1), servers.asked.Load())
+	require.Equal(t, int64(1), servers.probes.Load())
 }
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -8,106 +8,107 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// pair is the two best candidates of one version of the weights by some measure.
-type pair struct{ first, second *routing.Candidate }
+// topTwo holds the two candidates with the highest scores among those with the same version of
+// the weights.
+type topTwo struct{ first, second *routing.Candidate }
 
-// besides returns the better one that is not the candidate itself, or nil.
-func (p pair) besides(c *routing.Candidate) *routing.Candidate {
+// excluding returns the best candidate other than c, or nil.
+func (p topTwo) excluding(c *routing.Candidate) *routing.Candidate {
 	if p.first == c {
 		return p.second
 	}
 	return p.first
 }
 
-// pairsOf returns the two usable candidates of each version with the highest measure.
-func pairsOf(candidates []routing.Candidate, usable func(c *routing.Candidate) bool, measure func(c *routing.Candidate) uint64) map[int64]pair {
-	pairs := map[int64]pair{}
+// topTwoByVersion returns the two usable candidates with the highest scores for each version.
+func topTwoByVersion(candidates []routing.Candidate, usable func(c *routing.Candidate) bool, score func(c *routing.Candidate) uint64) map[int64]topTwo {
+	best := map[int64]topTwo{}
 	for i := range candidates {
 		c := &candidates[i]
 		if !usable(c) {
 			continue
 		}
-		p := pairs[c.Version]
+		p := best[c.Version]
 		switch {
-		case p.first == nil || measure(c) > measure(p.first):
+		case p.first == nil || score(c) > score(p.first):
 			p.first, p.second = c, p.first
-		case p.second == nil || measure(c) > measure(p.second):
+		case p.second == nil || score(c) > score(p.second):
 			p.second = c
 		}
-		pairs[c.Version] = p
+		best[c.Version] = p
 	}
-	return pairs
+	return best
 }
 
-// homesOf returns the first two usable servers of each version in rendezvous order:
-// requests go there first, so that they may hold the shared parts even if nothing is
-// known of it.
-func homesOf(candidates []routing.Candidate) map[int64]pair {
+// preferredByVersion returns the first two usable servers in rendezvous order for each
+// version. Requests prefer these servers, so they may hold the shared parts even if that
+// has not been observed.
+func preferredByVersion(candidates []routing.Candidate) map[int64]topTwo {
 	usable := func(c *routing.Candidate) bool {
-		return c.Ready && !c.Leaving && !c.Down && !c.Resting && !c.Excluded && c.RestLeft == 0 && c.LimitWait == 0
+		return c.Ready && !c.Leaving && !c.Down && !c.BreakerOpen && !c.Excluded && c.BackoffLeft == 0 && c.LimitWait == 0
 	}
-	return pairsOf(candidates, usable, func(c *routing.Candidate) uint64 { return c.Affinity })
+	return topTwoByVersion(candidates, usable, func(c *routing.Candidate) uint64 { return c.Affinity })
 }
 
-// holdersOf returns the two servers of each version that hold most of the shared
-// parts. One may give them away that takes no requests, but not one that is down, that
-// loads other weights, or that has asked for rest.
-func holdersOf(candidates []routing.Candidate) map[int64]pair {
+// holdersByVersion returns the two servers that hold most of the shared parts for each
+// version. A server that accepts no requests may still serve imports, unless it is down,
+// its circuit breaker is open, it loads other weights, or it has requested a backoff.
+func holdersByVersion(candidates []routing.Candidate) map[int64]topTwo {
 	usable := func(c *routing.Candidate) bool {
-		return c.HitBlocks > 0 && !c.Down && !c.Resting && !c.Loading && c.RestLeft == 0
+		return c.HitBlocks > 0 && !c.Down && !c.BreakerOpen && !c.Loading && c.BackoffLeft == 0
 	}
-	return pairsOf(candidates, usable, func(c *routing.Candidate) uint64 { return uint64(c.HitBlocks) })
+	return topTwoByVersion(candidates, usable, func(c *routing.Candidate) uint64 { return uint64(c.HitBlocks) })
 }
 
-// annotateSources says of each candidate from where it can take shared parts that
-// it lacks, and how many of them: from the server that holds most of them, whose
-// link is fast, or from the store of kept KV cache if that has more. If neither is
-// known to have all, it may ask the first server in rendezvous order, where they are
-// read if anywhere, but nothing is counted on; the first itself asks the second, which
-// stood in for it if it was away.
+// annotateSources sets where each candidate can import missing shared parts from, and how
+// many blocks. The source is the server that holds most of them, or the KV cache store if
+// that has more; on a tie it is the server, since all engines share the store's link. If
+// neither is known to hold all shared parts, the source is the first server in rendezvous
+// order, without any expected blocks. The first server itself uses the second, which
+// replaces it while it is away.
 func (p *placer) annotateSources(candidates []routing.Candidate, now time.Time) {
-	homes, holders := homesOf(candidates), holdersOf(candidates)
+	preferred, holders := preferredByVersion(candidates), holdersByVersion(candidates)
 	shared, store := p.sharedTokens(), p.store()
 	for i := range candidates {
 		c := &candidates[i]
 		if store != nil {
-			c.ImportFrom, c.ImportBlocks = store.Address, p.inStore(c.Version, now)
+			c.ImportFrom, c.ImportBlocks = store.Address, p.tokensInStore(c.Version, now)
 		}
-		if peer := holders[c.Version].besides(c); peer != nil && peer.HitBlocks >= c.ImportBlocks {
+		if peer := holders[c.Version].excluding(c); peer != nil && peer.HitBlocks >= c.ImportBlocks {
 			c.ImportFrom, c.ImportBlocks = peer.Address, peer.HitBlocks
-			c.ImportTokensPerSecond = peerSpeed(p.admitted.service.Engine, peer.Zone == c.Zone)
+			c.ImportTokensPerSecond = peerImportRate(p.admitted.service.Engine, peer.Zone == c.Zone)
 			continue
 		}
-		if peer := homes[c.Version].besides(c); peer != nil && c.ImportBlocks < shared {
+		if peer := preferred[c.Version].excluding(c); peer != nil && c.ImportBlocks < shared {
 			c.ImportFrom = peer.Address
 		}
 	}
 }
 
-// farShare is the share of an engine's speed at which it takes parts from a server
-// in another zone.
-const farShare = 0.5
+// crossZoneShare is the fraction of an engine's link rate that imports from a server in
+// another zone achieve.
+const crossZoneShare = 0.5
 
-// peerSpeed is how many tokens an engine takes from another one in a second.
-func peerSpeed(engine *catalog.Engine, near bool) float64 {
+// peerImportRate returns how many tokens per second an engine can import from another.
+func peerImportRate(engine *catalog.Engine, sameZone bool) float64 {
 	if engine == nil || engine.TokenBytes <= 0 {
 		return 0
 	}
-	speed := engine.LinkBitsPerSecond / 8 / engine.TokenBytes
-	if !near {
-		speed *= farShare
+	rate := engine.LinkBitsPerSecond / 8 / engine.TokenBytes
+	if !sameZone {
+		rate *= crossZoneShare
 	}
-	return speed
+	return rate
 }
 
-// store returns the store of kept KV cache that is to hold the prompt's shared
-// parts: the first in rendezvous order, so that each part lies in one store. It is
-// nil if there is none that answers: asking a dead one costs the server time.
+// store returns the KV cache store for the prompt's shared parts: the first in rendezvous
+// order, so that each part is kept in one store. It returns nil if no store is up, since a
+// fetch from a store that is down costs the server time.
 func (p *placer) store() *catalog.PrefixStore {
 	var first *catalog.PrefixStore
 	var highest uint64
 	key := p.affinityKey()
-	for _, store := range p.admitted.belief.Snapshot.Stores() {
+	for _, store := range p.admitted.replica.Snapshot.Stores() {
 		if p.proxy.ledger.Down(store.Address) {
 			continue
 		}
@@ -118,17 +119,17 @@
 	return first
 }
 
-// inStore returns how many leading tokens of the shared parts the store of kept
-// KV cache has at a version.
-func (p *placer) inStore(version int64, now time.Time) int {
-	if tokens, looked := p.stored[version]; looked {
+// tokensInStore returns how many leading tokens of the shared parts the KV cache store
+// holds for a version.
+func (p *placer) tokensInStore(version int64, now time.Time) int {
+	if tokens, cached := p.storedTokens[version]; cached {
 		return tokens
 	}
 	store := p.store()
 	if store == nil {
 		return 0
 	}
-	tokens := p.proxy.ledger.Held(store.Address, "", p.named(version), now)
-	p.stored[version] = tokens
+	tokens := p.proxy.ledger.CachedTokens(store.Address, "", p.piecesAt(version), now)
+	p.storedTokens[version] = tokens
 	return tokens
 }
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -17,29 +17,29 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// unheeded is a recorder that keeps nothing.
-type unheeded struct{}
+// nopRecorder is a Recorder that records nothing.
+type nopRecorder struct{}
 
-func (unheeded) Placed(*Request, Choice)                                          {}
-func (unheeded) Limited(*Request, string, quota.Limit, quota.Decision)            {}
-func (unheeded) Attempt(*Request, string, exchange.Event, quarantine.Fingerprint) {}
-func (unheeded) OverLimits(*Request, OverLimits)                                  {}
-func (unheeded) HeldOff(*Request, quarantine.Fingerprint, quarantine.Verdict)     {}
-func (unheeded) Settled(Suspicion)                                                {}
-func (unheeded) Cleared(*Request, quarantine.Fingerprint)                         {}
-func (unheeded) Request(*Request, *catalog.Route, int64, exchange.Outcome)        {}
+func (nopRecorder) Placed(*Request, PlacementDecision)                                      {}
+func (nopRecorder) RateLimited(*Request, string, quota.Limit, quota.Decision)               {}
+func (nopRecorder) Attempt(*Request, string, exchange.Event, quarantine.Fingerprint)        {}
+func (nopRecorder) OverLimits(*Request, OverLimits)                                         {}
+func (nopRecorder) RequestQuarantined(*Request, quarantine.Fingerprint, quarantine.Verdict) {}
+func (nopRecorder) SuspicionResolved(Suspicion)                                             {}
+func (nopRecorder) SuspicionCleared(*Request, quarantine.Fingerprint)                       {}
+func (nopRecorder) Request(*Request, *catalog.Route, int64, exchange.Outcome)               {}
 
-// placing returns a placer of a prompt with 1,000 shared tokens and some of its
-// own, before servers and stores of the given numbers.
-func placing(own, servers, stores int) *placer {
+// newTestPlacer returns a placer for a prompt with 1,000 shared tokens and the given
+// number of its own, and for the given numbers of servers and stores.
+func newTestPlacer(own, servers, stores int) *placer {
 	declaration := catalog.Declaration{Version: 1, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{TokenBytes: 1000, LinkBitsPerSecond: 1e12}}}}
 	for i := range stores {
 		store := &catalog.PrefixStore{Address: fmt.Sprint("store-", i), CapacityTokens: 1e6, LinkBitsPerSecond: 1e12}
 		declaration.Services = append(declaration.Services, catalog.Service{Name: store.Address, Store: store})
 	}
 	snapshot := catalog.New(declaration)
-	holder := &catalog.Holder{}
-	holder.Store(&catalog.Belief{Snapshot: snapshot, AsOf: time.Now()})
+	holder := &catalog.AtomicReplica{}
+	holder.Store(&catalog.Replica{Snapshot: snapshot, AsOf: time.Now()})
 	set := backend.NewSet()
 	list := []backend.Server{}
 	for i := range servers {
@@ -48,8 +48,8 @@
 	}
 	set.Update(list, time.Now())
 	prompt := &Prompt{Model: "m", Tokens: 1000 + own, Parts: []Part{{ID: "a", Tokens: 1000}, {ID: "b", Tokens: own}}}
-	return newPlacer(New(Options{Belief: holder, Distance: func(string) int { return 0 }, Set: set, Ledger: residency.NewLedger(), Recorder: unheeded{}, Requests: quarantine.NewLedger(), Limits: quota.NewServers(set.Knows, rand.Float64)}), &admitted{
-		request: &Request{Prompt: prompt}, belief: holder.Load(), route: &catalog.Route{}, service: snapshot.Service("s"),
+	return newPlacer(New(Options{Replica: holder, Distance: func(string) int { return 0 }, Set: set, Ledger: residency.NewLedger(), Recorder: nopRecorder{}, Quarantine: quarantine.NewLedger(), ServerLimits: quota.NewServerLimits(set.Contains, rand.Float64)}), &admitted{
+		request: &Request{Prompt: prompt}, replica: holder.Load(), route: &catalog.Route{}, service: snapshot.Service("s"),
 		deadline: time.Now().Add(time.Hour),
 	})
 }
@@ -61,18 +61,18 @@
 	return all
 }
 
-// beginAt begins an attempt at a candidate.
+// beginAt begins an attempt on the given candidate.
 func (p *placer) beginAt(c routing.Candidate) *placement {
 	now := time.Now()
-	choice := &choice{scheduler: routing.NewScheduler(p.scorers()...), request: p.routingRequest(), candidates: []routing.Candidate{c}}
-	choice.schedule()
-	return p.begin(choice, p.query(now), now)
+	selection := &selection{scheduler: routing.NewScheduler(p.scorers()...), request: p.routingRequest(), candidates: []routing.Candidate{c}}
+	selection.schedule()
+	return p.begin(selection, p.query(now), now)
 }
 
-func TestSharedPartsAreTakenFromTheFirstServerIfNoStoreHasThem(t *testing.T) {
-	p := placing(10, 5, 1)
+func TestImportFallsBackToPreferredServer(t *testing.T) {
+	p := newTestPlacer(10, 5, 1)
 	all := p.candidates()
-	h := homesOf(all)[1]
+	h := preferredByVersion(all)[1]
 	for i := range all {
 		c := &all[i]
 		if c == h.first {
@@ -83,32 +83,32 @@
 		require.Equal(t, h.first.Address, c.ImportFrom)
 		require.Zero(t, c.ImportBlocks, "it may be asked, but nothing is known")
 	}
-	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
+	p.proxy.ledger.Replace("store-0", []residency.Key{p.piecesAt(1)[0].Key})
 	for _, c := range p.candidates() {
 		require.Equal(t, "store-0", c.ImportFrom)
 		require.Equal(t, 1000, c.ImportBlocks)
 	}
 }
 
-func TestAServerThatRestsOrLoadsIsNoSource(t *testing.T) {
-	p := placing(10, 3, 0)
-	first := homesOf(p.candidates())[1].first.Endpoint
-	p.proxy.set.TakeWork([]backend.Work{{Server: backend.ServerKey(first), Suspects: 2}}, time.Now())
+func TestUnavailableServersAreNotImportSources(t *testing.T) {
+	p := newTestPlacer(10, 3, 0)
+	first := preferredByVersion(p.candidates())[1].first.Endpoint
+	p.proxy.set.ApplyPeerWork([]backend.Work{{Server: backend.ServerKey(first), Suspects: 2}}, time.Now())
 	for _, c := range p.candidates() {
 		require.NotEqual(t, "at "+first, c.ImportFrom)
 	}
-	p = placing(10, 3, 0)
-	p.proxy.set.Load(backend.Loads{Loading: []backend.Load{{Instance: first, Model: "m", Version: 2}}}, time.Now())
+	p = newTestPlacer(10, 3, 0)
+	p.proxy.set.SetLoads(backend.Loads{Loading: []backend.Load{{Instance: first, Model: "m", Version: 2}}}, time.Now())
 	for _, c := range p.candidates() {
 		require.NotEqual(t, "at "+first, c.ImportFrom)
 	}
 }
 
-func TestEachPromptHasOneStoreAndAnotherWhenThatIsDown(t *testing.T) {
-	p := placing(10, 1, 3)
+func TestStoreSelectionFailsOver(t *testing.T) {
+	p := newTestPlacer(10, 1, 3)
 	first := p.store().Address
 	require.Equal(t, first, p.store().Address)
-	p.proxy.ledger.Lose(first, true)
+	p.proxy.ledger.Drop(first, true)
 	second := p.store().Address
 	require.NotEqual(t, first, second)
 	seen := map[string]bool{}
@@ -119,26 +119,26 @@
 	require.Len(t, seen, 2, "they share the work")
 }
 
-func TestOnlyWhatIsMostlySharedIsSaved(t *testing.T) {
+func TestSavesOnlyMostlySharedPrompts(t *testing.T) {
 	for own, saves := range map[int]bool{10: true, 1000: true, 1001: false} {
-		p := placing(own, 1, 1)
+		p := newTestPlacer(own, 1, 1)
 		placed := p.beginAt(p.candidates()[0])
 		dispatch := Dispatch{}
-		placed.addSources(&dispatch)
+		placed.addKVSources(&dispatch)
 		require.Equal(t, saves, dispatch.SaveTo == "store-0", own)
 	}
-	p := placing(10, 1, 1)
-	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
+	p := newTestPlacer(10, 1, 1)
+	p.proxy.ledger.Replace("store-0", []residency.Key{p.piecesAt(1)[0].Key})
 	dispatch := Dispatch{}
-	p.beginAt(p.candidates()[0]).addSources(&dispatch)
+	p.beginAt(p.candidates()[0]).addKVSources(&dispatch)
 	require.Empty(t, dispatch.SaveTo, "the store has it")
 	require.Equal(t, "store-0", dispatch.FetchFrom)
 }
 
-func TestSharedPartsAreTakenFromTheServerThatHoldsMostOfThem(t *testing.T) {
-	p := placing(10, 5, 1)
+func TestImportPrefersServerHoldingMostBlocks(t *testing.T) {
+	p := newTestPlacer(10, 5, 1)
 	all := p.candidates()
-	h := homesOf(all)[1]
+	h := preferredByVersion(all)[1]
 	var holder, other *routing.Candidate
 	for i := range all {
 		if c := &all[i]; c != h.first && holder == nil {
@@ -147,7 +147,7 @@
 			other = c
 		}
 	}
-	p.proxy.ledger.Replace(holder.Address, []residency.Key{p.named(1)[0].Key})
+	p.proxy.ledger.Replace(holder.Address, []residency.Key{p.piecesAt(1)[0].Key})
 	for _, c := range p.candidates() {
 		if c.Endpoint != holder.Endpoint {
 			require.Equal(t, holder.Address, c.ImportFrom)
@@ -155,23 +155,24 @@
 			require.InDelta(t, 1e12/8/1000, c.ImportTokensPerSecond, 1)
 		}
 	}
-	// A store that has as much is not asked: its link is shared by all.
-	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
+	// A store that has as much is not used, since all engines share its link.
+	p.proxy.ledger.Replace("store-0", []residency.Key{p.piecesAt(1)[0].Key})
 	for _, c := range p.candidates() {
 		if c.Endpoint == other.Endpoint {
 			require.Equal(t, holder.Address, c.ImportFrom)
 		}
 	}
-	// What a server that loads other weights had is gone.
-	p.proxy.set.Load(backend.Loads{Loading: []backend.Load{{Instance: holder.Endpoint, Model: "m", Version: 2}}}, time.Now())
+	// A server that loads other weights loses its cached blocks.
+	p.proxy.set.SetLoads(backend.Loads{Loading: []backend.Load{{Instance: holder.Endpoint, Model: "m", Version: 2}}}, time.Now())
 	for _, c := range p.candidates() {
 		require.Equal(t, "store-0", c.ImportFrom)
 	}
 }
 
-// A request that will be late where it waits least lets all go first that may be in time.
-func TestARequestThatWillBeLateLetsOthersGoFirst(t *testing.T) {
-	p := placing(100, 2, 0)
+// Guards against a request that will miss its target on every server delaying requests that can
+// still meet theirs.
+func TestLateRequestIsDeferred(t *testing.T) {
+	p := newTestPlacer(100, 2, 0)
 	p.admitted.route = &catalog.Route{TargetLatency: 500 * time.Millisecond, Priority: 1}
 	p.admitted.request.Arrived = time.Now()
 	place := func() *placement {
@@ -182,17 +183,17 @@
 	first := place()
 	require.Equal(t, 1, first.urgency())
 	first.End(exchange.ResultServed)
-	queued := int(p.proxy.pace.tokensPerSecond())
+	queued := int(p.proxy.prefillRate.tokensPerSecond())
 	for _, name := range []string{"i-0", "i-1"} {
-		p.proxy.set.Begin(backend.Claim{
+		p.proxy.set.Begin(backend.Placement{
 			Query: p.query(time.Now()), Chosen: routing.Candidate{Endpoint: name}, Tokens: queued,
-			Holds: func(*routing.Candidate) bool { return true },
+			StillValid: func(*routing.Candidate) bool { return true },
 		}, time.Now())
 	}
 	late := place()
 	require.True(t, late.deferred)
-	require.Equal(t, leastUrgent, late.urgency())
-	require.False(t, late.Doubtful(30*time.Millisecond))
+	require.Equal(t, lowestUrgency, late.urgency())
+	require.False(t, late.Stalled(30*time.Millisecond))
 	for _, work := range p.proxy.set.Work(time.Now()) {
 		require.Equal(t, queued, work.QueuedTokens, "its tokens are nobody's to wait for")
 	}
