--- a/internal/reflector/reflector_test.go
+++ b/internal/reflector/reflector_test.go
@@ -15,97 +15,99 @@
 	"github.com/cloverrail/cloverrail/internal/fleet"
 )
 
-// refusing is a store that refuses every reading.
-type refusing struct{ err error }
+// failingSource fails every read with one error.
+type failingSource struct{ err error }
 
-func (refusing refusing) Observe(context.Context) (Observation, error) {
-	return Observation{}, refusing.err
+func (failingSource failingSource) Observe(context.Context) (Observation, error) {
+	return Observation{}, failingSource.err
 }
-func (refusing refusing) Declared(context.Context) (catalog.Reading, error) {
-	return catalog.Reading{}, refusing.err
+func (failingSource failingSource) ReadDeclaration(context.Context) (catalog.ReadResult, error) {
+	return catalog.ReadResult{}, failingSource.err
 }
-func (refusing refusing) Nodes(context.Context, bool) ([]coordination.Entry, bool, error) {
-	return nil, false, refusing.err
+func (failingSource failingSource) ReadNodes(context.Context, bool) ([]coordination.Entry, bool, error) {
+	return nil, false, failingSource.err
 }
-func (refusing refusing) View(context.Context) ([]byte, error) { return nil, refusing.err }
-func (refusing refusing) AwaitDeclared(context.Context, coordination.Position, time.Duration) (bool, coordination.Position, error) {
-	return false, coordination.Position{}, refusing.err
+func (failingSource failingSource) ReadView(context.Context) ([]byte, error) {
+	return nil, failingSource.err
+}
+func (failingSource failingSource) AwaitDeclaration(context.Context, coordination.Position, time.Duration) (bool, coordination.Position, error) {
+	return false, coordination.Position{}, failingSource.err
 }
 
-type silent struct{}
+type nopRecorder struct{}
 
-func (silent) Read(time.Duration, error)                 {}
-func (silent) Declared(*catalog.Belief, *catalog.Belief) {}
-func (silent) Listed([]backend.Change)                   {}
-func (silent) Follows(string, error)                     {}
-func (silent) Garbled(string, error)                     {}
+func (nopRecorder) ReadDone(time.Duration, error)                           {}
+func (nopRecorder) ConfigurationChanged(*catalog.Replica, *catalog.Replica) {}
+func (nopRecorder) ServersChanged([]backend.Change)                         {}
+func (nopRecorder) UpstreamChanged(string, error)                           {}
+func (nopRecorder) CacheUpdatesRejected(string, error)                      {}
 
-// A belief is disturbed once several readings have failed while nobody told anything
-// recent. A single reading that fails, which may only be slow, lets older weights serve
-// no longer, and neither does a store that limits the rate.
-func TestOnlyAnUnsoundStoreDisturbsTheBelief(t *testing.T) {
+// The store counts as disrupted once several reads have failed while no other node delivered
+// recent state. Neither a single failed read, which may only have been slow, nor a rate-limiting
+// store may extend the time for which older weights serve.
+func TestDisruptionRequiresRepeatedFailures(t *testing.T) {
 	const bound = 4 * time.Second
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		kind     failure.Kind
 		readings int
 		age      time.Duration
 		disturbs bool
 	}{
-		"unsound":                 {failure.KindUnavailable, enoughFailures, bound, true},
-		"one failure":             {failure.KindUnavailable, enoughFailures - 1, bound, false},
-		"others tell":             {failure.KindUnavailable, 5 * enoughFailures, bound / 2, false},
-		"the rate limited":        {failure.KindRateLimited, 5 * enoughFailures, bound, false},
-		"nothing was read so far": {failure.KindUnavailable, enoughFailures, 100 * bound, true},
+		"unsound":                 {failure.KindUnavailable, disruptionThreshold, bound, true},
+		"one failure":             {failure.KindUnavailable, disruptionThreshold - 1, bound, false},
+		"others tell":             {failure.KindUnavailable, 5 * disruptionThreshold, bound / 2, false},
+		"the rate limited":        {failure.KindRateLimited, 5 * disruptionThreshold, bound, false},
+		"nothing was read so far": {failure.KindUnavailable, disruptionThreshold, 100 * bound, true},
 	} {
 		reflector := &Reflector{
-			Source:   refusing{err: failure.New(one.kind, "refused", "wait")},
-			Belief:   &catalog.Holder{},
-			Registry: &fleet.Registry{Resized: func(int) {}},
-			Recorder: silent{},
-			Bound:    bound,
+			Source:       failingSource{err: failure.New(test.kind, "refused", "wait")},
+			Replica:      &catalog.AtomicReplica{},
+			Registry:     &fleet.Registry{OnResize: func(int) {}},
+			Recorder:     nopRecorder{},
+			MaxStaleness: bound,
 		}
-		reflector.Belief.Store(&catalog.Belief{Snapshot: catalog.New(catalog.Declaration{}), AsOf: time.Now().Add(-one.age)})
-		for range one.readings {
+		reflector.Replica.Store(&catalog.Replica{Snapshot: catalog.New(catalog.Declaration{}), AsOf: time.Now().Add(-test.age)})
+		for range test.readings {
 			require.Error(t, reflector.read(context.Background()))
 		}
-		require.Equal(t, one.disturbs, !reflector.Belief.Load().Disturbed.IsZero(), name)
+		require.Equal(t, test.disturbs, !reflector.Replica.Load().DisruptedAt.IsZero(), name)
 	}
 }
 
-// downStore is a store that refuses every reading, and counts them.
-type downStore struct {
-	refusing
+// countingFailingSource fails every read, and counts the reads of node registrations.
+type countingFailingSource struct {
+	failingSource
 	calls int
 }
 
-func (d *downStore) Nodes(ctx context.Context, old bool) ([]coordination.Entry, bool, error) {
+func (d *countingFailingSource) ReadNodes(ctx context.Context, stale bool) ([]coordination.Entry, bool, error) {
 	d.calls++
-	return d.refusing.Nodes(ctx, old)
+	return d.failingSource.ReadNodes(ctx, stale)
 }
 
-// Hundreds of nodes that start while the store is down do not keep it down.
-func TestANodeThatKnowsNobodyAsksAStoreThatIsDownSeldom(t *testing.T) {
+// Hundreds of nodes that start while the store is down must not overload it by retrying.
+func TestBootstrapBacksOffWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &downStore{refusing: refusing{err: failure.New(failure.KindUnavailable, "refused", "wait")}}
-		node := newFollower(store, &answering{lost: true})
+		store := &countingFailingSource{failingSource: failingSource{err: failure.New(failure.KindUnavailable, "refused", "wait")}}
+		node := newFollower(store, &feedPeers{unreachable: true})
 		ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		defer stop()
-		node.gather(ctx)
+		node.bootstrap(ctx)
 		require.LessOrEqual(t, store.calls, 26)
 		require.Greater(t, store.calls, 20)
 	})
 }
 
-func TestAListTellsOfAServersLifeOnlyWhileTheStoreIsSound(t *testing.T) {
+func TestServersReadSinceRequiresUndisruptedStore(t *testing.T) {
 	at := time.Now()
 	read, later := at.Add(5*time.Second), at.Add(6*time.Second)
-	reflector := &Reflector{Belief: &catalog.Holder{}}
-	require.False(t, reflector.ListedSince(read, at), "nothing was read")
-	reflector.Belief.Store(&catalog.Belief{Disturbed: at})
-	reflector.listedAt.store(read)
-	require.False(t, reflector.ListedSince(read, at), "the entry may not have lapsed yet")
-	reflector.listedAt.store(later)
-	require.True(t, reflector.ListedSince(read, at))
-	reflector.Belief.Store(&catalog.Belief{Disturbed: at.Add(time.Second)})
-	require.False(t, reflector.ListedSince(read, at), "entries did not lapse")
+	reflector := &Reflector{Replica: &catalog.AtomicReplica{}}
+	require.False(t, reflector.ServersReadSince(read, at), "nothing was read")
+	reflector.Replica.Store(&catalog.Replica{DisruptedAt: at})
+	reflector.serversReadAt.store(read)
+	require.False(t, reflector.ServersReadSince(read, at), "the entry may not have lapsed yet")
+	reflector.serversReadAt.store(later)
+	require.True(t, reflector.ServersReadSince(read, at))
+	reflector.Replica.Store(&catalog.Replica{DisruptedAt: at.Add(time.Second)})
+	require.False(t, reflector.ServersReadSince(read, at), "entries did not lapse")
 }
--- a/internal/reflector/suspicions_test.go
+++ b/internal/reflector/suspicions_test.go
@@ -20,256 +20,257 @@
 	"github.com/cloverrail/cloverrail/internal/quarantine"
 )
 
-// crowd is a fleet of nodes that ask each other as their places in it say, in rounds: in
-// each, every node asks once.
-type crowd struct {
+// simFleet is a fleet whose nodes poll each other according to their roles. In each round every
+// node polls once.
+type simFleet struct {
 	t       require.TestingT
 	random  *rand.Rand
 	entries []coordination.Entry
-	nodes   map[string]*crowdNode
-	// order holds the names.
+	nodes   map[string]*simNode
+	// order holds the names of the nodes.
 	order []string
-	// bytes is what was written and read by each node.
+	// bytes counts the bytes sent and received by each node.
 	bytes map[string]int
-	// view is what nodes know of the fleet, or nil if each knows all others.
+	// view is the view of the fleet that nodes have, or nil if each has the full list.
 	view *fleet.View
 }
 
-// room is the processor time of each node, in cores.
-const room = 0.2
+// nodeCores is the processor time of each node, in cores.
+const nodeCores = 0.2
 
-// port ends the address of each node, which is not its name.
+// port makes the address of a node differ from its name.
 const port = ":1"
 
 func addressOf(name string) string { return name + port }
 
-// crowdNode is one node, and its exchange with the node that it asks.
-type crowdNode struct {
+// simNode is a node with the state of its suspicion exchange.
+type simNode struct {
 	*Reflector
-	told *telling
-	turn int
-	cut  bool
+	exchange      *suspicionExchange
+	upstreamIndex int
+	partitioned   bool
 }
 
-func newCrowd(t require.TestingT, size int, seed uint64) *crowd {
-	c := &crowd{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*crowdNode{}, bytes: map[string]int{}}
+func newSimFleet(t require.TestingT, size int, seed uint64) *simFleet {
+	s := &simFleet{t: t, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*simNode{}, bytes: map[string]int{}}
 	for i := range size {
-		c.entries = append(c.entries, coordination.Entry{Key: fmt.Sprintf("nodes/n%d/1", i), Value: []byte(fmt.Sprintf("%s z %g", addressOf(fmt.Sprint("n", i)), room))})
-		c.order = append(c.order, fmt.Sprint("n", i))
+		s.entries = append(s.entries, coordination.Entry{Key: fmt.Sprintf("nodes/n%d/1", i), Value: []byte(fmt.Sprintf("%s z %g", addressOf(fmt.Sprint("n", i)), nodeCores))})
+		s.order = append(s.order, fmt.Sprint("n", i))
 	}
-	for _, name := range c.order {
-		c.start(name)
+	for _, name := range s.order {
+		s.start(name)
 	}
-	return c
+	return s
 }
 
-// newLargeCrowd returns a fleet whose nodes know the first of it alone.
-func newLargeCrowd(t require.TestingT, size int, seed uint64) *crowd {
-	c := newCrowd(t, 0, seed)
+// newLargeSimFleet returns a fleet whose nodes know only the view of its first nodes.
+func newLargeSimFleet(t require.TestingT, size int, seed uint64) *simFleet {
+	s := newSimFleet(t, 0, seed)
 	for i := range size {
 		name := fmt.Sprint("n", i)
-		c.order = append(c.order, name)
-		c.entries = append(c.entries, coordination.Entry{Key: "nodes/" + name + "/1", Value: []byte(fmt.Sprintf("%s z %g", addressOf(name), room))})
+		s.order = append(s.order, name)
+		s.entries = append(s.entries, coordination.Entry{Key: "nodes/" + name + "/1", Value: []byte(fmt.Sprintf("%s z %g", addressOf(name), nodeCores))})
 	}
-	reader := &fleet.Registry{Prefix: "nodes/", Name: c.order[0], Address: addressOf(c.order[0]), Zone: "z", Room: room, Resized: func(int) {}}
-	reader.ObserveNodes(c.entries, time.Now())
-	c.view, _ = reader.NewerThan(0)
-	for _, name := range c.order {
-		c.start(name)
+	reader := &fleet.Registry{Prefix: "nodes/", Name: s.order[0], Address: addressOf(s.order[0]), Zone: "z", Cores: nodeCores, OnResize: func(int) {}}
+	reader.ObserveNodes(s.entries, time.Now())
+	s.view, _ = reader.ViewIfChanged(0)
+	for _, name := range s.order {
+		s.start(name)
 	}
-	return c
+	return s
 }
 
-// know tells a node of the fleet: the view of it, which is enough, if there is one.
-func (c *crowd) know(registry *fleet.Registry) {
-	if c.view != nil {
-		registry.ObserveView(c.view, c.view.Nodes)
+// initRegistry gives a node the view of the fleet, or the full list if there is no view or the
+// node is the first reader.
+func (s *simFleet) initRegistry(registry *fleet.Registry) {
+	if s.view != nil {
+		registry.ObserveView(s.view, s.view.Nodes)
 	}
-	if c.view == nil || registry.Rank() == 0 {
-		begun := time.Now()
-		registry.ObserveNodes(c.entries, begun)
-		registry.ObserveNodes(c.entries, begun.Add(time.Minute))
+	if s.view == nil || registry.Rank() == 0 {
+		startedAt := time.Now()
+		registry.ObserveNodes(s.entries, startedAt)
+		registry.ObserveNodes(s.entries, startedAt.Add(time.Minute))
 	}
 }
 
-// start begins a new life of a node.
-func (c *crowd) start(name string) {
-	r := newFollower(&counting{}, nil)
-	r.Peers = &crowdPeers{crowd: c, name: name}
-	r.Registry.Name, r.Registry.Address, r.Registry.Zone, r.Registry.Room = name, addressOf(name), "z", room
-	r.Feed.name = fmt.Sprint(name, " ", c.random.Uint64())
-	c.know(r.Registry)
-	require.True(c.t, r.Registry.Settled())
-	c.nodes[name] = &crowdNode{Reflector: r, told: &telling{}}
+// start creates or restarts a node, without state.
+func (s *simFleet) start(name string) {
+	r := newFollower(&countingSource{}, nil)
+	r.Peers = &simPeers{fleet: s, name: name}
+	r.Registry.Name, r.Registry.Address, r.Registry.Zone, r.Registry.Cores = name, addressOf(name), "z", nodeCores
+	r.Feed.name = fmt.Sprint(name, " ", s.random.Uint64())
+	s.initRegistry(r.Registry)
+	require.True(s.t, r.Registry.Bootstrapped())
+	s.nodes[name] = &simNode{Reflector: r, exchange: &suspicionExchange{}}
 }
 
-// crowdPeers asks other nodes of the crowd.
-type crowdPeers struct {
-	crowd *crowd
+// simPeers polls other nodes of the fleet.
+type simPeers struct {
+	fleet *simFleet
 	name  string
 }
 
-func (p *crowdPeers) Ask(ctx context.Context, address string, question Question) (Delta, error) {
-	asked := p.crowd.nodes[strings.TrimSuffix(address, port)]
-	if p.crowd.nodes[p.name].cut || asked.cut {
+func (p *simPeers) Poll(ctx context.Context, address string, request PollRequest) (Delta, error) {
+	target := p.fleet.nodes[strings.TrimSuffix(address, port)]
+	if p.fleet.nodes[p.name].partitioned || target.partitioned {
 		return Delta{}, errors.New("no answer")
 	}
-	question.Wait = 0
-	delta := asked.Feed.Answer(ctx, question)
-	p.crowd.count(p.name, asked.Registry.Name, question.encode)
-	p.crowd.count(p.name, asked.Registry.Name, delta.encode)
+	request.Wait = 0
+	delta := target.Feed.Respond(ctx, request)
+	p.fleet.countBytes(p.name, target.Registry.Name, request.encode)
+	p.fleet.countBytes(p.name, target.Registry.Name, delta.encode)
 	return delta, nil
 }
 
-func (p *crowdPeers) Group(context.Context, string, GroupQuestion) (Group, error) {
+func (p *simPeers) Group(context.Context, string, GroupRequest) (Group, error) {
 	return Group{}, nil
 }
 
-func (c *crowd) count(one, other string, encode func(io.Writer) error) {
+func (s *simFleet) countBytes(sender, receiver string, encode func(io.Writer) error) {
 	text := bytes.Buffer{}
-	require.NoError(c.t, encode(&text))
-	c.bytes[one] += text.Len()
-	c.bytes[other] += text.Len()
+	require.NoError(s.t, encode(&text))
+	s.bytes[sender] += text.Len()
+	s.bytes[receiver] += text.Len()
 }
 
-// round lets every node ask once, in any order.
-func (c *crowd) round() {
-	for _, i := range c.random.Perm(len(c.order)) {
-		node := c.nodes[c.order[i]]
-		sources := node.sources()
-		if len(sources) == 0 {
+// runRound makes every node poll once, in random order.
+func (s *simFleet) runRound() {
+	for _, i := range s.random.Perm(len(s.order)) {
+		node := s.nodes[s.order[i]]
+		upstreams := node.upstreams()
+		if len(upstreams) == 0 {
 			continue
 		}
-		err := node.ask(context.Background(), sources[node.turn%len(sources)], node.told)
-		if err != nil && err != errStale {
-			node.turn++
+		err := node.poll(context.Background(), upstreams[node.upstreamIndex%len(upstreams)], node.exchange)
+		if err != nil && err != errStaleUpstream {
+			node.upstreamIndex++
 		}
 	}
 }
 
-// heldOff counts the nodes that hold a request off.
-func (c *crowd) heldOff(f quarantine.Fingerprint) int {
-	held := 0
-	for _, node := range c.nodes {
-		if node.Quarantine.Judge(f, func(uint64, time.Time) bool { return false }, time.Now()).Held {
-			held++
+// quarantinedOn counts the nodes that quarantine a request.
+func (s *simFleet) quarantinedOn(f quarantine.Fingerprint) int {
+	count := 0
+	for _, node := range s.nodes {
+		if node.Quarantine.Evaluate(f, func(uint64, time.Time) bool { return false }, time.Now()).Quarantined {
+			count++
 		}
 	}
-	return held
+	return count
 }
 
-// end lets a server end under requests that one node has sent.
-func (c *crowd) end(node string, server uint64, requests ...quarantine.Fingerprint) {
-	ledger := c.nodes[node].Quarantine
+// failServer makes one node observe the crash of a server during its requests.
+func (s *simFleet) failServer(node string, server uint64, requests ...quarantine.Fingerprint) {
+	ledger := s.nodes[node].Quarantine
 	for _, f := range requests {
 		ledger.Suspect(f)
-		ledger.Settle(f, server, time.Now(), true, time.Now())
+		ledger.Resolve(f, server, time.Now(), true, time.Now())
 	}
 }
 
-// Whichever nodes see the ends of three servers, all nodes hold the request off some rounds
-// after the last cut is over, those that started meanwhile too.
-func TestAllNodesHearWhatARequestHasDone(t *testing.T) {
+// Whichever nodes observe the crashes of three servers, all nodes quarantine the request some
+// rounds after the last partition has healed, including nodes that restarted in between.
+func TestQuarantineReachesAllNodes(t *testing.T) {
 	t.Parallel()
 	property.Check(t, func(t *rapid.T) {
-		c := newCrowd(t, rapid.IntRange(1, 40).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"))
-		ends := 0
+		s := newSimFleet(t, rapid.IntRange(1, 40).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"))
+		crashes := 0
 		for range rapid.IntRange(3, 12).Draw(t, "rounds") {
-			node := rapid.SampledFrom(c.order).Draw(t, "node")
+			node := rapid.SampledFrom(s.order).Draw(t, "node")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				c.nodes[node].cut = !c.nodes[node].cut
+				s.nodes[node].partitioned = !s.nodes[node].partitioned
 			case 1:
-				if ends < 3 {
-					ends++
-					c.end(node, uint64(ends), 7)
+				if crashes < 3 {
+					crashes++
+					s.failServer(node, uint64(crashes), 7)
 				}
 			}
-			c.round()
+			s.runRound()
 		}
-		for _, node := range c.nodes {
-			node.cut = false
+		for _, node := range s.nodes {
+			node.partitioned = false
 		}
-		for ; ends < 3; ends++ {
-			c.end(rapid.SampledFrom(c.order).Draw(t, "node"), uint64(ends+1), 7)
+		for ; crashes < 3; crashes++ {
+			s.failServer(rapid.SampledFrom(s.order).Draw(t, "node"), uint64(crashes+1), 7)
 		}
 		const enoughRounds = 8
 		for range enoughRounds {
-			c.round()
+			s.runRound()
 		}
-		later := rapid.SampledFrom(c.order).Draw(t, "later")
-		// The life before may have been the only one that knew.
-		if len(c.order) > 1 {
-			c.start(later)
+		restarted := rapid.SampledFrom(s.order).Draw(t, "later")
+		// In a fleet of one, a restart loses the only copy.
+		if len(s.order) > 1 {
+			s.start(restarted)
 			for range enoughRounds {
-				c.round()
+				s.runRound()
 			}
 		}
-		require.Equal(t, len(c.nodes), c.heldOff(7))
+		require.Equal(t, len(s.nodes), s.quarantinedOn(7))
 	})
 }
 
-// At 340 nodes, three ends that three nodes saw are known to all within the time of contact,
-// and the loss of a zone, in which every run of 80 servers is suspected, costs each node few
-// bytes and a bounded memory.
-func TestALargeFleetHearsInTimeAndInFewBytes(t *testing.T) {
+// At 340 nodes, three crashes that three nodes observed are known to all nodes within 2 s. The
+// loss of a zone, after which all requests of 80 servers are suspected, costs each node few
+// bytes and bounded memory.
+func TestSuspicionsSpreadQuicklyAndCheaply(t *testing.T) {
 	t.Parallel()
-	c := newCrowd(t, 340, 20261202)
+	s := newSimFleet(t, 340, 20261202)
 	for range 3 {
-		c.round()
+		s.runRound()
 	}
-	rest := c.perRound(10)
+	idle := s.meanBytesPerRound(10)
 	for server := range uint64(3) {
-		c.end(c.order[100*int(server)], server+1, 7)
+		s.failServer(s.order[100*int(server)], server+1, 7)
 	}
 	rounds := 0
-	for ; c.heldOff(7) < len(c.nodes); rounds++ {
+	for ; s.quarantinedOn(7) < len(s.nodes); rounds++ {
 		require.Less(t, rounds, 20)
-		c.round()
+		s.runRound()
 	}
 	t.Logf("all 340 nodes know after %d rounds", rounds)
-	// A round is a question of a follower: 285 ms with 18 of them on a relay.
-	interval := c.nodes[c.order[0]].askInterval()
+	// A round is a follower's poll interval: 285 ms with 18 followers per relay.
+	interval := s.nodes[s.order[0]].pollInterval()
 	require.Less(t, time.Duration(rounds)*interval, 2*time.Second)
 
 	next := quarantine.Fingerprint(1000)
 	for server := range uint64(80) {
 		for range 16 {
 			next++
-			c.end(c.order[c.random.IntN(len(c.order))], 1000+server, next)
+			s.failServer(s.order[s.random.IntN(len(s.order))], 1000+server, next)
 		}
 	}
-	clear(c.bytes)
+	clear(s.bytes)
 	const enoughRounds = 12
 	for range enoughRounds {
-		c.round()
+		s.runRound()
 	}
-	most, sum := 0, 0
-	for _, n := range c.bytes {
-		most, sum = max(most, n), sum+n
+	peak, sum := 0, 0
+	for _, n := range s.bytes {
+		peak, sum = max(peak, n), sum+n
 	}
-	t.Logf("at rest %.0f bytes a round and node; 1,280 ends at once: %d kB for the middle node beside that, %d kB for the busiest", rest, (sum/len(c.nodes)-enoughRounds*int(rest))/1000, most/1000)
-	for _, node := range c.nodes {
-		told := 0
-		for place := int64(0); place != node.Quarantine.Place(); {
+	t.Logf("at rest %.0f bytes a round and node; 1,280 ends at once: %d kB for the middle node beside that, %d kB for the busiest", idle, (sum/len(s.nodes)-enoughRounds*int(idle))/1000, peak/1000)
+	for _, node := range s.nodes {
+		received := 0
+		for cursor := int64(0); cursor != node.Quarantine.Position(); {
 			var items []quarantine.Item
-			items, place = node.Quarantine.Since(place, "", quarantine.All, time.Now())
-			told += len(items)
+			items, cursor = node.Quarantine.Since(cursor, "", quarantine.All, time.Now())
+			received += len(items)
 		}
-		require.Equal(t, 3+80*16, told)
+		require.Equal(t, 3+80*16, received)
 	}
-	require.Equal(t, len(c.nodes), c.heldOff(7), "what is held off stays")
+	require.Equal(t, len(s.nodes), s.quarantinedOn(7), "what is held off stays")
 }
 
-// perRound is the mean number of bytes of a node in a round.
-func (c *crowd) perRound(rounds int) float64 {
-	clear(c.bytes)
+// meanBytesPerRound returns the mean number of bytes per node and round.
+func (s *simFleet) meanBytesPerRound(rounds int) float64 {
+	clear(s.bytes)
 	for range rounds {
-		c.round()
+		s.runRound()
 	}
 	sum := 0
-	for _, n := range c.bytes {
+	for _, n := range s.bytes {
 		sum += n
 	}
-	return float64(sum) / float64(rounds*len(c.nodes))
+	return float64(sum) / float64(rounds*len(s.nodes))
 }
--- a/internal/reflector/transport_test.go
+++ b/internal/reflector/transport_test.go
@@ -25,142 +25,142 @@
 	"github.com/cloverrail/cloverrail/internal/workshare"
 )
 
-func TestAReaderTellsItsGroupsWorkInFewBytes(t *testing.T) {
-	board := workshare.New(func() workshare.Report { return workshare.Report{Work: []backend.Work{{Server: 1, Running: 2}}} })
-	board.TakeFollower("f", workshare.Report{Work: []backend.Work{{Server: 1, Running: 3, Suspects: 1}}}, time.Now())
+func TestGroupResponseIsSmallAndIncremental(t *testing.T) {
+	aggregator := workshare.New(func() workshare.Report { return workshare.Report{Work: []backend.Work{{Server: 1, Running: 2}}} })
+	aggregator.SetFollower("f", workshare.Report{Work: []backend.Work{{Server: 1, Running: 3, Suspects: 1}}}, time.Now())
 	recorder := httptest.NewRecorder()
-	kept := residency.NewLedger()
-	feed := NewFeed("relay", &catalog.Holder{}, &fleet.Registry{}, board, kept, quarantine.NewLedger())
+	cache := residency.NewLedger()
+	feed := NewFeed("relay", &catalog.AtomicReplica{}, &fleet.Registry{}, aggregator, cache, quarantine.NewLedger())
 	WorkHandler(feed)(recorder, httptest.NewRequest(http.MethodGet, PathWork, nil))
 	require.Less(t, recorder.Body.Len(), 200)
 
 	server := httptest.NewServer(WorkHandler(feed))
 	defer server.Close()
-	caller, address := &Caller{Client: server.Client()}, strings.TrimPrefix(server.URL, "http://")
-	kept.Replace("store", []residency.Key{1, 2})
-	group, err := caller.Group(context.Background(), address, GroupQuestion{})
+	caller, address := &PeerClient{Client: server.Client()}, strings.TrimPrefix(server.URL, "http://")
+	cache.Replace("store", []residency.Key{1, 2})
+	group, err := caller.Group(context.Background(), address, GroupRequest{})
 	require.NoError(t, err)
 	require.Equal(t, []backend.Work{{Server: 1, Running: 5, Suspects: 1}}, group.Report.Work)
-	heard := residency.NewLedger()
-	hearer := residency.NewHearer(heard)
-	require.NoError(t, hearer.Take(address, residency.Place{}, group.Kept, time.Now()))
-	require.Equal(t, 3, heard.Held("store", "", []residency.Piece{{Key: 2, Tokens: 3}}, time.Now()))
+	received := residency.NewLedger()
+	receiver := residency.NewPeerReceiver(received)
+	require.NoError(t, receiver.Receive(address, residency.Place{}, group.Kept, time.Now()))
+	require.Equal(t, 3, received.CachedTokens("store", "", []residency.Piece{{Key: 2, Tokens: 3}}, time.Now()))
 	require.Nil(t, group.Loads, "nobody has told of any")
 	loads := backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 2}, Loading: []backend.Load{{Instance: "i-1", Model: "m", Version: 3}}}
-	require.True(t, feed.TakeLoads(loads))
-	require.False(t, feed.TakeLoads(backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 1}}), "what is older changes nothing")
-	question := GroupQuestion{Kept: hearer.Place(address)}
-	group, err = caller.Group(context.Background(), address, question)
+	require.True(t, feed.ApplyLoads(loads))
+	require.False(t, feed.ApplyLoads(backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 1}}), "what is older changes nothing")
+	request := GroupRequest{Kept: receiver.Place(address)}
+	group, err = caller.Group(context.Background(), address, request)
 	require.NoError(t, err)
 	require.Nil(t, group.Kept, "nothing is told twice")
 	require.Equal(t, &loads, group.Loads)
-	question.Loads = group.Loads.Mark
-	group, err = caller.Group(context.Background(), address, question)
+	request.Loads = group.Loads.Mark
+	group, err = caller.Group(context.Background(), address, request)
 	require.NoError(t, err)
 	require.Nil(t, group.Loads, "nothing is told twice")
 }
 
-func TestADeltaIsReadAsItWasWritten(t *testing.T) {
-	whole := Delta{
+func TestDeltaRoundTrip(t *testing.T) {
+	full := Delta{
 		Feed: "f", Place: at(3), Whole: true, Changed: []backend.Server{{Instance: "i", Address: "a", Revision: 3, Versions: map[string]int64{"m": 1}}}, Gone: []string{"g"},
 		Loads: &backend.Loads{Mark: backend.LoadsMark{Fence: 1, Sequence: 2}}, Age: 4, BeliefAge: 5, DisturbedAgo: 6,
 		Declaration: &catalog.Declaration{Version: 7}, Weights: map[string]int64{"m": 2},
 		Fleet: &fleet.View{Nodes: 9, Roomy: 2, First: []coordination.Entry{{Key: "n", Value: []byte("v"), Revision: 8}}}, Nodes: 9, Sum: 12, Duties: []coordination.Entry{{Key: "d"}},
 		Others: workshare.Report{Work: []backend.Work{{Server: 9, Running: 1}}}, Kept: []byte{1},
 	}
-	usual := Delta{Feed: "f", Place: at(3), BeliefAge: 1, DisturbedAgo: -1, Others: whole.Others}
-	for _, delta := range []Delta{whole, usual} {
+	typical := Delta{Feed: "f", Place: at(3), BeliefAge: 1, DisturbedAgo: -1, Others: full.Others}
+	for _, delta := range []Delta{full, typical} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			require.NoError(t, delta.encode(w))
 		}))
-		caller := &Caller{Client: server.Client()}
-		got, err := caller.Ask(context.Background(), strings.TrimPrefix(server.URL, "http://"), Question{})
+		caller := &PeerClient{Client: server.Client()}
+		got, err := caller.Poll(context.Background(), strings.TrimPrefix(server.URL, "http://"), PollRequest{})
 		server.Close()
 		require.NoError(t, err)
 		require.Equal(t, delta, got)
 	}
 }
 
-func TestAQuestionIsReadAsItWasWritten(t *testing.T) {
-	whole := Question{
+func TestPollRequestRoundTrip(t *testing.T) {
+	full := PollRequest{
 		Feed: "f", Place: at(3), Wait: 4, Loads: backend.LoadsMark{Fence: 2, Sequence: 1}, Node: "n", Declaration: 5, Fleet: 6, Relay: true, Reader: true,
 		Own: workshare.Report{
 			Work:  []backend.Work{{Server: 1, Running: 2}},
-			Quota: quota.Report{Nodes: 1, Uses: []quota.Use{{Tenant: 7, Asked: 8, Admitted: 9}}},
+			Quota: quota.Report{Nodes: 1, Usages: []quota.Usage{{Tenant: 7, Requested: 8, Admitted: 9}}},
 		},
 		Kept: residency.Place{Life: 10, Next: 11},
 	}
-	for _, question := range []Question{whole, {}} {
+	for _, request := range []PollRequest{full, {}} {
 		encoded := bytes.Buffer{}
-		require.NoError(t, question.encode(&encoded))
-		read, err := decodeQuestion(&encoded)
+		require.NoError(t, request.encode(&encoded))
+		decoded, err := decodePollRequest(&encoded)
 		require.NoError(t, err)
-		require.Equal(t, question, read)
+		require.Equal(t, request, decoded)
 	}
 }
 
-// What requests have done to servers comes through whole in both directions, and costs
-// little while there is nothing to tell.
-func TestSuspicionsAreToldBothWays(t *testing.T) {
-	items := []quarantine.Item{{Kind: quarantine.Ended, Fingerprint: 7, Server: 9, Age: time.Second}, {Kind: quarantine.Served, Fingerprint: 8}}
+// Suspicions are transferred intact in requests and responses, and cost little while there are
+// none.
+func TestSuspicionsTravelInRequestsAndResponses(t *testing.T) {
+	items := []quarantine.Item{{Kind: quarantine.KindCrashed, Fingerprint: 7, Server: 9, Age: time.Second}, {Kind: quarantine.KindServed, Fingerprint: 8}}
 	size := func(encode func(io.Writer) error) int {
 		text := bytes.Buffer{}
 		require.NoError(t, encode(&text))
 		return text.Len()
 	}
-	question := Question{Feed: "f", Node: "n", SuspicionsPlace: 4}
-	quiet := size(question.encode)
-	question.Suspicions = items
+	request := PollRequest{Feed: "f", Node: "n", SuspicionsPlace: 4}
+	idleSize := size(request.encode)
+	request.Suspicions = items
 	text := bytes.Buffer{}
-	require.NoError(t, question.encode(&text))
-	decoded, err := decodeQuestion(&text)
+	require.NoError(t, request.encode(&text))
+	decoded, err := decodePollRequest(&text)
 	require.NoError(t, err)
-	require.Equal(t, question, decoded)
+	require.Equal(t, request, decoded)
 
 	delta := Delta{Feed: "f", SuspicionsPlace: 6, Suspicions: items}
 	text.Reset()
 	require.NoError(t, delta.encode(&text))
 	var wired wireDelta
 	require.NoError(t, gob.NewDecoder(&text).Decode(&wired))
-	told, err := wired.delta()
+	received, err := wired.delta()
 	require.NoError(t, err)
-	require.Equal(t, delta.Suspicions, told.Suspicions)
-	require.Equal(t, delta.SuspicionsPlace, told.SuspicionsPlace)
+	require.Equal(t, delta.Suspicions, received.Suspicions)
+	require.Equal(t, delta.SuspicionsPlace, received.SuspicionsPlace)
 
-	question.Suspicions = nil
-	question.SuspicionsPlace = 0
-	require.LessOrEqual(t, quiet-size(question.encode), 4, "bytes of a question for the place heard")
+	request.Suspicions = nil
+	request.SuspicionsPlace = 0
+	require.LessOrEqual(t, idleSize-size(request.encode), 4, "bytes of a question for the place heard")
 	many := make([]quarantine.Item, 1000)
 	for i := range many {
-		many[i] = quarantine.Item{Kind: quarantine.Ended, Fingerprint: quarantine.Fingerprint(rand.Uint64()), Server: rand.Uint64(), Age: time.Duration(rand.Int64N(int64(time.Minute)))}
+		many[i] = quarantine.Item{Kind: quarantine.KindCrashed, Fingerprint: quarantine.Fingerprint(rand.Uint64()), Server: rand.Uint64(), Age: time.Duration(rand.Int64N(int64(time.Minute)))}
 	}
 	delta.Suspicions = many
-	each := size(delta.encode) / len(many)
-	t.Logf("%d bytes an item", each)
-	require.LessOrEqual(t, each, 40)
+	itemSize := size(delta.encode) / len(many)
+	t.Logf("%d bytes an item", itemSize)
+	require.LessOrEqual(t, itemSize, 40)
 }
 
-// slowly is a way on which answers come in pieces, with a pause before each.
-type slowly struct {
-	answer Delta
+// slowTransport delivers a response in pieces, with a pause before each.
+type slowTransport struct {
+	delta  Delta
 	pieces int
 	pause  time.Duration
 }
 
-func (s *slowly) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s *slowTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	encoded := bytes.Buffer{}
-	if err := s.answer.encode(&encoded); err != nil {
+	if err := s.delta.encode(&encoded); err != nil {
 		return nil, err
 	}
-	body := &slowBody{done: request.Context().Done(), data: encoded.Bytes(), each: (encoded.Len() + s.pieces - 1) / s.pieces, pause: s.pause}
+	body := &slowBody{done: request.Context().Done(), data: encoded.Bytes(), chunkSize: (encoded.Len() + s.pieces - 1) / s.pieces, pause: s.pause}
 	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
 }
 
 type slowBody struct {
-	done  <-chan struct{}
-	data  []byte
-	each  int
-	pause time.Duration
+	done      <-chan struct{}
+	data      []byte
+	chunkSize int
+	pause     time.Duration
 }
 
 func (b *slowBody) Close() error { return nil }
@@ -174,34 +174,34 @@
 	case <-b.done:
 		return 0, context.Canceled
 	}
-	n := copy(p[:min(len(p), b.each)], b.data)
+	n := copy(p[:min(len(p), b.chunkSize)], b.data)
 	b.data = b.data[n:]
 	return n, nil
 }
 
-// A whole list may take as long as its bytes do on a slow link; a node that falls silent is
-// left.
-func TestAnAnswerMayTakeAsLongAsItsBytesCome(t *testing.T) {
-	for name, one := range map[string]struct {
+// A full list may take as long as its bytes need on a slow link, within responseTimeout. A
+// response that stops arriving times out.
+func TestResponseTimesOutOnlyWithoutProgress(t *testing.T) {
+	for name, test := range map[string]struct {
 		pieces int
 		pause  time.Duration
 		comes  bool
 	}{
 		"at once":              {1, 0, true},
 		"slowly":               {8, 900 * time.Millisecond, true},
-		"silent":               {2, silence + time.Millisecond, false},
+		"silent":               {2, idleTimeout + time.Millisecond, false},
 		"for longer than ever": {40, 500 * time.Millisecond, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			way := &slowly{answer: Delta{Feed: "f", Whole: true, Changed: manyServers(300)}, pieces: one.pieces, pause: one.pause}
+			transport := &slowTransport{delta: Delta{Feed: "f", Whole: true, Changed: newServers(300)}, pieces: test.pieces, pause: test.pause}
 			size := 0
-			caller := &Caller{Client: &http.Client{Transport: way}, Heard: func(call string, bytes int) {
+			caller := &PeerClient{Client: &http.Client{Transport: transport}, OnResponse: func(call string, bytes int) {
 				require.Equal(t, "servers", call)
 				size = bytes
 			}}
-			delta, err := caller.Ask(context.Background(), "relay", Question{})
-			require.Equal(t, one.comes, err == nil, name)
-			if one.comes {
+			delta, err := caller.Poll(context.Background(), "relay", PollRequest{})
+			require.Equal(t, test.comes, err == nil, name)
+			if test.comes {
 				require.Len(t, delta.Changed, 300)
 				require.Greater(t, size, 300*20, name)
 			}
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -1,6 +1,7 @@
-// Package residency remembers where cached parts of prompts lie: by the word of the
-// holders themselves, of which each is asked by one node that tells the others, and
-// by what this node itself sent. Both are hints: a server that lacks a part reads it.
+// Package residency tracks which servers and stores hold cached pieces of prompts. Each of these
+// holders is watched by one node, which forwards the changes to the others; in addition each
+// node assumes that holders have what it recently sent them. Both are hints: a server that lacks
+// a piece computes it.
 package residency
 
 import (
@@ -10,101 +11,100 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Key names one part of a prompt together with all that keeps it apart: wall,
-// model and version. It is short, since nodes tell each other of many; two parts
-// with the same key cost one wrong hint.
+// Key identifies a piece of a prompt within its cache scope, model and version. It is short,
+// since nodes exchange many of them; a collision costs one wrong hint.
 type Key uint32
 
-// NewKey names the part with an id that is kept under a salt.
+// NewKey returns the key of the piece with the given id and salt.
 func NewKey(salt, id string) Key { return Key(prefix.KeyOf(salt + id)) }
 
-// Piece is one part in the order of its prompt.
+// Piece is one piece of a prompt, in prompt order.
 type Piece struct {
 	Key    Key
 	Tokens int
 }
 
 const (
-	// sureShare is the share of a holder's memory that may be written anew before a
-	// part counts as given up. Parts unused longest give way first.
-	sureShare = 0.6
-	// longestLife is how long a part is remembered without being used.
-	longestLife = time.Minute
-	// untoldLife is the least time for which what this node sent to a followed holder
-	// counts: by then the holder's own word of it has come, if it has the part.
-	untoldLife = time.Second
-	// sweepAbove is the number of parts of one holder above which old ones are
-	// looked for and forgotten.
-	sweepAbove = 4096
+	// retainedFraction is the fraction of a holder's capacity that may be written before a piece
+	// counts as evicted. Holders evict the least recently used pieces first.
+	retainedFraction = 0.6
+	// maxAssumedAge is how long an unused piece is assumed to be cached.
+	maxAssumedAge = time.Minute
+	// minAssumedAge is the minimum time for which a piece that this node sent to a watched
+	// holder is assumed to be cached: by then the holder has reported it, if it has it.
+	minAssumedAge = time.Second
+	// minSweepSize is the number of pieces of one holder above which old ones are removed.
+	minSweepSize = 4096
 )
 
-// mark is when a part was sent last: the holder's count of written tokens, the time
-// from which it is there, and that of its last use.
-type mark struct {
-	written int64
-	from    time.Time
-	used    time.Time
+// sendRecord records when a piece was last sent: the holder's count of written tokens, the time
+// from which the piece is available, and the time of its last use.
+type sendRecord struct {
+	written     int64
+	availableAt time.Time
+	lastUsed    time.Time
 }
 
-// holding is what is known of one incarnation of a holder.
-type holding struct {
+// holderState is what is known of one incarnation of a holder.
+type holderState struct {
 	incarnation string
-	// followed says that the holder's own word counts, in has.
-	followed bool
-	has      map[Key]bool
-	// teller is the node that tells of the holder, or "" if this node asks itself.
-	teller string
-	// down says that the holder did not answer when it was asked last.
+	// watched is set if the holder's own reports are available, in cached.
+	watched bool
+	cached  map[Key]bool
+	// peer is the node that reports on the holder, or "" if this node watches it itself.
+	peer string
+	// down is set if the holder did not answer the last query.
 	down bool
-	// written counts the tokens that this node's requests brought.
+	// written counts the tokens written by this node's requests.
 	written  int64
 	capacity int64
-	sent     map[Key]mark
+	sent     map[Key]sendRecord
 	sweepAt  int
 }
 
-// Ledger is what one node remembers. It is safe for concurrent use.
+// Ledger is one node's record of cached pieces. It is safe for concurrent use.
 type Ledger struct {
-	mutex    sync.Mutex
-	holdings map[string]*holding
-	nodes    int64
-	// untold is for how long what this node sent to a followed holder counts.
-	untold time.Duration
-	news   news
+	mutex   sync.Mutex
+	holders map[string]*holderState
+	nodes   int64
+	// assumedAge is how long a piece that this node sent to a watched holder is assumed to be
+	// cached.
+	assumedAge time.Duration
+	log        changeLog
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{holdings: map[string]*holding{}, nodes: 1, untold: untoldLife, news: news{resting: true}}
+	return &Ledger{holders: map[string]*holderState{}, nodes: 1, assumedAge: minAssumedAge, log: changeLog{idle: true}}
 }
 
-// Resize follows the number of nodes: others write about as much as this one.
+// Resize sets the number of nodes; each is assumed to write about as much as this one.
 func (l *Ledger) Resize(nodes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.nodes = int64(max(1, nodes))
 }
 
-// Lags takes how late the word of a holder reaches this node.
-func (l *Ledger) Lags(by time.Duration) {
+// SetReportDelay sets the delay with which the reports of holders reach this node.
+func (l *Ledger) SetReportDelay(delay time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.untold = max(untoldLife, by)
+	l.assumedAge = max(minAssumedAge, delay)
 }
 
-// Held returns how many leading tokens of the pieces the holder has. What was sent
-// to another incarnation of it does not count.
-func (l *Ledger) Held(holder, incarnation string, pieces []Piece, now time.Time) int {
+// CachedTokens returns the number of leading tokens of the pieces that the holder has. Pieces
+// sent to another incarnation of the holder do not count.
+func (l *Ledger) CachedTokens(holder, incarnation string, pieces []Piece, now time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.holdings[holder]
+	known := l.holders[holder]
 	if known == nil || known.down {
 		return 0
 	}
 	tokens := 0
 	for _, piece := range pieces {
-		told := known.followed && known.has[piece.Key]
-		if !told && (known.incarnation != incarnation || !l.probablyHas(known, piece.Key, now)) {
+		reported := known.watched && known.cached[piece.Key]
+		if !reported && (known.incarnation != incarnation || !l.assumedPresent(known, piece.Key, now)) {
 			break
 		}
 		tokens += piece.Tokens
@@ -112,160 +112,161 @@
 	return tokens
 }
 
-// probablyHas reports whether the holder probably has a part that this node sent there.
-func (l *Ledger) probablyHas(known *holding, key Key, now time.Time) bool {
-	mark, found := known.sent[key]
-	if !found || now.Before(mark.from) {
+// assumedPresent reports whether the holder probably has a piece that this node sent to it.
+func (l *Ledger) assumedPresent(known *holderState, key Key, now time.Time) bool {
+	sendRecord, found := known.sent[key]
+	if !found || now.Before(sendRecord.availableAt) {
 		return false
 	}
-	if known.followed {
-		return now.Sub(mark.used) < l.untold
+	if known.watched {
+		return now.Sub(sendRecord.lastUsed) < l.assumedAge
 	}
-	return !l.gone(known, mark, now)
+	return !l.assumedEvicted(known, sendRecord, now)
 }
 
-// gone reports whether a part has probably given way.
-func (l *Ledger) gone(known *holding, mark mark, now time.Time) bool {
-	if now.Sub(mark.from) > longestLife {
+// assumedEvicted reports whether a piece has probably been evicted.
+func (l *Ledger) assumedEvicted(known *holderState, sendRecord sendRecord, now time.Time) bool {
+	if now.Sub(sendRecord.availableAt) > maxAssumedAge {
 		return true
 	}
-	since := (known.written - mark.written) * l.nodes
-	return known.capacity > 0 && float64(since) > sureShare*float64(known.capacity)
+	since := (known.written - sendRecord.written) * l.nodes
+	return known.capacity > 0 && float64(since) > retainedFraction*float64(known.capacity)
 }
 
-// Note says that an incarnation of the holder has the pieces from a time on, that
-// their use brought it written tokens, and how many tokens it has room for.
-func (l *Ledger) Note(holder, incarnation string, pieces []Piece, written, capacity int, from time.Time) {
+// RecordSent records that an incarnation of the holder has the pieces from availableAt on, the
+// number of tokens written for them, and the holder's capacity in tokens.
+func (l *Ledger) RecordSent(holder, incarnation string, pieces []Piece, written, capacity int, availableAt time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.holding(holder)
+	known := l.holderState(holder)
 	if known.incarnation != incarnation {
-		known.incarnation, known.written, known.sent = incarnation, 0, map[Key]mark{}
+		known.incarnation, known.written, known.sent = incarnation, 0, map[Key]sendRecord{}
 	}
 	known.written += int64(written)
 	known.capacity = int64(capacity)
 	for _, piece := range pieces {
-		next := mark{written: known.written, from: from, used: from}
-		if before, found := known.sent[piece.Key]; found && before.from.Before(from) && !l.gone(known, before, from) {
-			next.from = before.from
-			if from.Sub(before.from) > longestLife/2 {
-				next.from = from
+		next := sendRecord{written: known.written, availableAt: availableAt, lastUsed: availableAt}
+		if before, found := known.sent[piece.Key]; found && before.availableAt.Before(availableAt) && !l.assumedEvicted(known, before, availableAt) {
+			next.availableAt = before.availableAt
+			if availableAt.Sub(before.availableAt) > maxAssumedAge/2 {
+				next.availableAt = availableAt
 			}
 		}
 		known.sent[piece.Key] = next
 	}
-	l.sweep(known, from)
+	l.sweep(known, availableAt)
 }
 
-// sweep forgets old parts when there are many.
-func (l *Ledger) sweep(known *holding, now time.Time) {
+// sweep removes old pieces if there are many.
+func (l *Ledger) sweep(known *holderState, now time.Time) {
 	if len(known.sent) < known.sweepAt {
 		return
 	}
-	for key, mark := range known.sent {
-		if l.gone(known, mark, now) {
+	for key, sendRecord := range known.sent {
+		if l.assumedEvicted(known, sendRecord, now) {
 			delete(known.sent, key)
 		}
 	}
-	known.sweepAt = max(sweepAbove, 2*len(known.sent))
+	known.sweepAt = max(minSweepSize, 2*len(known.sent))
 }
 
-func (l *Ledger) holding(holder string) *holding {
-	known := l.holdings[holder]
+func (l *Ledger) holderState(holder string) *holderState {
+	known := l.holders[holder]
 	if known == nil {
-		known = &holding{sent: map[Key]mark{}, sweepAt: sweepAbove}
-		l.holdings[holder] = known
+		known = &holderState{sent: map[Key]sendRecord{}, sweepAt: minSweepSize}
+		l.holders[holder] = known
 	}
 	return known
 }
 
-// Replace takes the holder's own list of what it has. From then on the holder's
-// word counts, and what this node sends there only until that has come.
+// Replace sets the pieces that a holder reports to have. From then on its reports count, and a
+// piece that this node sends to it is assumed to be cached only until the holder must have
+// reported it.
 func (l *Ledger) Replace(holder string, keys []Key) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.replace(holder, "", keys)
 }
 
-func (l *Ledger) replace(holder, teller string, keys []Key) {
-	known := l.holding(holder)
-	known.followed, known.down, known.teller = true, false, teller
-	known.has = make(map[Key]bool, len(keys))
-	l.news.add(entry{holder: holder, kind: replaced, teller: teller})
+func (l *Ledger) replace(holder, peer string, keys []Key) {
+	known := l.holderState(holder)
+	known.watched, known.down, known.peer = true, false, peer
+	known.cached = make(map[Key]bool, len(keys))
+	l.log.add(logEntry{holder: holder, kind: replaced, peer: peer})
 	for _, key := range keys {
-		known.has[key] = true
-		l.news.add(entry{holder: holder, kind: present, key: key, teller: teller})
+		known.cached[key] = true
+		l.log.add(logEntry{holder: holder, kind: present, key: key, peer: peer})
 	}
 }
 
-// Change is one change of what a followed holder has.
+// Change is one change of the pieces that a watched holder has.
 type Change struct {
 	Key     Key
 	Present bool
 }
 
-// Apply takes changes that the holder told of.
+// Apply applies changes reported by the holder.
 func (l *Ledger) Apply(holder string, changes []Change) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.holding(holder)
-	if !known.followed || known.teller != "" {
+	known := l.holderState(holder)
+	if !known.watched || known.peer != "" {
 		return
 	}
 	for _, change := range changes {
 		if change.Present {
-			l.arrive(holder, known, change.Key)
+			l.markPresent(holder, known, change.Key)
 		} else {
-			l.leave(holder, known, change.Key)
+			l.markAbsent(holder, known, change.Key)
 		}
 	}
 }
 
-// apply takes changes that another node told of.
-func (l *Ledger) apply(holder string, known *holding, has, lacks []Key) {
-	for _, key := range has {
-		l.arrive(holder, known, key)
+// apply applies changes reported by a peer.
+func (l *Ledger) apply(holder string, known *holderState, cached, evicted []Key) {
+	for _, key := range cached {
+		l.markPresent(holder, known, key)
 	}
-	for _, key := range lacks {
-		l.leave(holder, known, key)
+	for _, key := range evicted {
+		l.markAbsent(holder, known, key)
 	}
 }
 
-// arrive notes that a holder has a part.
-func (l *Ledger) arrive(holder string, known *holding, key Key) {
-	known.has[key] = true
-	l.news.add(entry{holder: holder, kind: present, key: key, teller: known.teller})
+// markPresent records that a holder has a piece.
+func (l *Ledger) markPresent(holder string, known *holderState, key Key) {
+	known.cached[key] = true
+	l.log.add(logEntry{holder: holder, kind: present, key: key, peer: known.peer})
 }
 
-// leave notes that a holder has a part no longer.
-func (l *Ledger) leave(holder string, known *holding, key Key) {
-	delete(known.has, key)
-	l.news.add(entry{holder: holder, kind: absent, key: key, teller: known.teller})
+// markAbsent records that a holder no longer has a piece.
+func (l *Ledger) markAbsent(holder string, known *holderState, key Key) {
+	delete(known.cached, key)
+	l.log.add(logEntry{holder: holder, kind: absent, key: key, peer: known.peer})
 }
 
-// Lose says that this node cannot follow the holder any more, and whether that is
-// down. What another node tells of it stays.
-func (l *Ledger) Lose(holder string, down bool) {
+// Drop records that this node can no longer watch the holder, and whether the holder is down.
+// Reports of a peer on it are kept.
+func (l *Ledger) Drop(holder string, down bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.holdings[holder]; known == nil || known.teller == "" {
-		l.lose(holder, "", down)
+	if known := l.holders[holder]; known == nil || known.peer == "" {
+		l.drop(holder, "", down)
 	}
 }
 
-func (l *Ledger) lose(holder, teller string, down bool) {
-	l.holdings[holder] = &holding{down: down, teller: teller, sent: map[Key]mark{}, sweepAt: sweepAbove}
-	kind := lost
+func (l *Ledger) drop(holder, peer string, down bool) {
+	l.holders[holder] = &holderState{down: down, peer: peer, sent: map[Key]sendRecord{}, sweepAt: minSweepSize}
+	kind := unknown
 	if down {
-		kind = isDown
+		kind = unreachable
 	}
-	l.news.add(entry{holder: holder, kind: kind, teller: teller})
+	l.log.add(logEntry{holder: holder, kind: kind, peer: peer})
 }
 
-// Down reports whether the holder did not answer when it was asked last.
+// Down reports whether the holder did not answer the last query.
 func (l *Ledger) Down(holder string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.holdings[holder]
+	known := l.holders[holder]
 	return known != nil && known.down
 }
--- a/internal/residency/ledger_test.go
+++ b/internal/residency/ledger_test.go
@@ -11,49 +11,49 @@
 )
 
 var (
-	begin  = time.Unix(1000, 0)
+	start  = time.Unix(1000, 0)
 	prompt = []Piece{{Key: 1, Tokens: 800}, {Key: 2, Tokens: 400}, {Key: 3, Tokens: 200}}
 )
 
-func TestOnlyLeadingPartsCount(t *testing.T) {
+func TestCachedTokensCountsLeadingPiecesOnly(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Note("a", "", prompt[:2], 1200, 100_000, begin)
-	require.Equal(t, 1200, ledger.Held("a", "", prompt, begin))
-	require.Zero(t, ledger.Held("b", "", prompt, begin))
-	ledger.Note("b", "", prompt[1:], 600, 100_000, begin)
-	require.Zero(t, ledger.Held("b", "", prompt, begin), "what comes before is missing")
-	ledger.Lose("a", false)
-	require.Zero(t, ledger.Held("a", "", prompt, begin))
+	ledger.RecordSent("a", "", prompt[:2], 1200, 100_000, start)
+	require.Equal(t, 1200, ledger.CachedTokens("a", "", prompt, start))
+	require.Zero(t, ledger.CachedTokens("b", "", prompt, start))
+	ledger.RecordSent("b", "", prompt[1:], 600, 100_000, start)
+	require.Zero(t, ledger.CachedTokens("b", "", prompt, start), "what comes before is missing")
+	ledger.Drop("a", false)
+	require.Zero(t, ledger.CachedTokens("a", "", prompt, start))
 }
 
-func TestAPartIsThereOnlyOnceItWasSaved(t *testing.T) {
+func TestPieceCountsOnlyOnceAvailable(t *testing.T) {
 	ledger := NewLedger()
-	saved := begin.Add(100 * time.Millisecond)
-	ledger.Note("store", "", prompt, 1400, 100_000, saved)
-	require.Zero(t, ledger.Held("store", "", prompt, begin))
-	ledger.Note("store", "", prompt, 0, 100_000, saved.Add(time.Second))
-	require.Equal(t, 1400, ledger.Held("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not put it off")
+	saved := start.Add(100 * time.Millisecond)
+	ledger.RecordSent("store", "", prompt, 1400, 100_000, saved)
+	require.Zero(t, ledger.CachedTokens("store", "", prompt, start))
+	ledger.RecordSent("store", "", prompt, 0, 100_000, saved.Add(time.Second))
+	require.Equal(t, 1400, ledger.CachedTokens("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not put it off")
 }
 
-func TestUnusedPartsGiveWayToWhatAllNodesWrite(t *testing.T) {
+func TestUnusedPiecesAreAssumedEvicted(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 300).Draw(t, "nodes")
 		capacity := rapid.IntRange(10_000, 1_000_000).Draw(t, "capacity")
 		ledger := NewLedger()
 		ledger.Resize(nodes)
-		ledger.Note("a", "", prompt, 1400, capacity, begin)
+		ledger.RecordSent("a", "", prompt, 1400, capacity, start)
 		written := 0
 		for range rapid.IntRange(0, 50).Draw(t, "others") {
 			tokens := rapid.IntRange(0, 20_000).Draw(t, "tokens")
-			ledger.Note("a", "", []Piece{{Key: 99, Tokens: 10}}, tokens, capacity, begin)
+			ledger.RecordSent("a", "", []Piece{{Key: 99, Tokens: 10}}, tokens, capacity, start)
 			written += tokens
 		}
 		expected := 1400
-		if float64(written*nodes) > sureShare*float64(capacity) {
+		if float64(written*nodes) > retainedFraction*float64(capacity) {
 			expected = 0
 		}
-		require.Equal(t, expected, ledger.Held("a", "", prompt, begin))
-		ledger.Note("a", "", prompt, 0, capacity, begin)
-		require.Equal(t, 1400, ledger.Held("a", "", prompt, begin), "use renews it")
+		require.Equal(t, expected, ledger.CachedTokens("a", "", prompt, start))
+		ledger.RecordSent("a", "", prompt, 0, capacity, start)
+		require.Equal(t, 1400, ledger.CachedTokens("a", "", prompt, start), "use renews it")
 	})
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		begin := now
@@ -36,63 +36,63 @@
 	})
 }
 
-func TestBreakerRestsAndProbesOnce(t *testing.T) {
+func TestBreakerOpensAndProbesOnce(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		breaker := &Breaker{}
-		rest := DefaultBreaker.Rest
+		openDuration := DefaultBreaker.OpenDuration
 		for range DefaultBreaker.Failures {
 			require.True(t, breaker.Allows(now))
 			breaker.Failed(DefaultBreaker, now)
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "openings") {
-			require.False(t, breaker.Allows(now.Add(rest-time.Millisecond)))
-			now = now.Add(rest)
+			require.False(t, breaker.Allows(now.Add(openDuration-time.Millisecond)))
+			now = now.Add(openDuration)
 			require.True(t, breaker.Allows(now))
 			breaker.Sent(now)
 			require.False(t, breaker.Allows(now), "one attempt probes")
 			breaker.Failed(DefaultBreaker, now)
-			rest = min(2*rest, DefaultBreaker.MaximumRest)
+			openDuration = min(2*openDuration, DefaultBreaker.MaxOpenDuration)
 		}
 		breaker.Succeeded()
 		require.True(t, breaker.Allows(now))
 	})
 }
 
-// Guards against an endpoint that is lost for as long as its probe hangs.
-func TestAProbeThatHangsIsFollowedByAnother(t *testing.T) {
+// Guards against an endpoint being excluded for as long as its probe hangs.
+func TestHungProbeIsReplaced(t *testing.T) {
 	now := time.Unix(0, 0)
 	breaker := &Breaker{}
 	require.False(t, breaker.Sent(now), "a closed breaker needs no probe")
 	for range DefaultBreaker.Failures {
 		breaker.Failed(DefaultBreaker, now)
 	}
-	now = now.Add(DefaultBreaker.Rest)
+	now = now.Add(DefaultBreaker.OpenDuration)
 	require.True(t, breaker.Sent(now))
-	require.False(t, breaker.Sent(now.Add(DefaultBreaker.Rest-1)))
-	now = now.Add(DefaultBreaker.Rest)
+	require.False(t, breaker.Sent(now.Add(DefaultBreaker.OpenDuration-1)))
+	now = now.Add(DefaultBreaker.OpenDuration)
 	require.True(t, breaker.Allows(now))
 	require.True(t, breaker.Sent(now))
 }
 
-func TestAnAnsweredProbeClosesTheBreakerUntilTheNextFailure(t *testing.T) {
+func TestAnsweredProbeClosesBreakerUntilNextFailure(t *testing.T) {
 	now := time.Unix(0, 0)
 	breaker := &Breaker{}
 	for range DefaultBreaker.Failures {
 		breaker.Failed(DefaultBreaker, now)
 	}
 	require.True(t, breaker.Sent(now), "where nothing else is left, it is probed before the end of its rest")
-	breaker.FailedBeside(DefaultBreaker, now)
+	breaker.FailedOutsideProbe(DefaultBreaker, now)
 	require.True(t, breaker.Probing(now), "what failed beside the probe does not end it")
-	breaker.Answered()
+	breaker.ProbeAnswered()
 	require.True(t, breaker.Allows(now))
 	breaker.Failed(DefaultBreaker, now)
 	require.False(t, breaker.Allows(now))
 }
 
-// Guards against a look at what is left that is apart from its withdrawal: of many at one moment,
-// one passes for each token.
-func TestABudgetIsWithdrawnOnceForEachToken(t *testing.T) {
+// Guards against a check of the remaining tokens that is separate from their withdrawal: of many
+// concurrent withdrawals, exactly one succeeds per token.
+func TestConcurrentWithdrawalsSpendEachTokenOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	const tokens = 10
 	for range 50 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestAllBudgetsMustPermit(t *testing.T) {
+func TestAllRequiresEveryBudget(t *testing.T) {
 	now := time.Unix(0, 0)
 	empty := NewBudget(BudgetConfig{}, now)
 	full := NewBudget(DefaultBudget, now)
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -15,197 +15,197 @@
 
 const model = "m"
 
-// modelServer is a server in virtual time: it takes orders, loads for a while,
-// and may get an order late or lose its answer.
-type modelServer struct {
-	name     string
-	life     int
-	version  int64
-	loading  int64
-	doneAt   time.Time
-	sequence int64
-	late     []lateOrder
-	downTill time.Time
+// simServer is a server in virtual time: it accepts orders, loads for a while, and may receive
+// an order late or lose its answer.
+type simServer struct {
+	name        string
+	incarnation int
+	version     int64
+	loading     int64
+	doneAt      time.Time
+	sequence    int64
+	delayed     []delayedOrder
+	downUntil   time.Time
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	order Order
 	at    time.Time
 }
 
-func (server *modelServer) instance() string { return fmt.Sprint(server.name, "-", server.life) }
+func (server *simServer) instance() string { return fmt.Sprint(server.name, "-", server.incarnation) }
 
-// carryOut takes an order as a real server would.
-func (server *modelServer) carryOut(now time.Time, order Order) Result {
+// handleOrder processes an order as a real server would.
+func (server *simServer) handleOrder(now time.Time, order Order) Result {
 	switch {
 	case order.Server.Instance != server.instance():
 		return ResultRejected
 	case server.loading != 0 || order.Expected != server.sequence:
 		return ResultConflict
 	case order.Version == server.version:
-		return ResultHolds
+		return ResultAlreadyLoaded
 	}
 	server.sequence++
 	server.loading, server.doneAt = order.Version, now.Add(700*time.Millisecond)
-	return ResultTaken
+	return ResultAccepted
 }
 
-func (server *modelServer) tick(now time.Time) {
-	kept := server.late[:0]
-	for _, late := range server.late {
-		if now.Before(late.at) {
-			kept = append(kept, late)
+func (server *simServer) tick(now time.Time) {
+	remaining := server.delayed[:0]
+	for _, delayed := range server.delayed {
+		if now.Before(delayed.at) {
+			remaining = append(remaining, delayed)
 			continue
 		}
-		server.carryOut(now, late.order)
+		server.handleOrder(now, delayed.order)
 	}
-	server.late = kept
+	server.delayed = remaining
 	if server.loading != 0 && !now.Before(server.doneAt) {
 		server.version, server.loading = server.loading, 0
 	}
 }
 
-// restart gives the server a new life with the weights that it had.
-func (server *modelServer) restart(now time.Time) {
-	server.life++
+// restart starts a new incarnation of the server with the same weights.
+func (server *simServer) restart(now time.Time) {
+	server.incarnation++
 	server.loading, server.sequence = 0, 0
-	server.downTill = now.Add(time.Second)
+	server.downUntil = now.Add(time.Second)
 }
 
-// world is a fleet of servers and the holder of the duty.
-type world struct {
+// simulation is a fleet of servers and the leader.
+type simulation struct {
 	t       *rapid.T
 	now     time.Time
-	servers []*modelServer
+	servers []*simServer
 	machine *Machine
 	targets Targets
-	// view is what the holder believes, which lags behind.
-	view map[string]int64
-	most int
+	// observed holds the versions known to the leader, which lag behind.
+	observed    map[string]int64
+	peakLoading int
 }
 
-func (world *world) list() []backend.Server {
+func (simulation *simulation) list() []backend.Server {
 	list := []backend.Server{}
-	for _, server := range world.servers {
-		if world.now.Before(server.downTill) {
+	for _, server := range simulation.servers {
+		if simulation.now.Before(server.downUntil) {
 			continue
 		}
 		instance := server.instance()
-		if world.view[instance] == 0 {
-			world.view[instance] = server.version
+		if simulation.observed[instance] == 0 {
+			simulation.observed[instance] = server.version
 		}
 		list = append(list, backend.Server{
-			Instance: instance, Service: "s", Zone: server.name[:1], Versions: map[string]int64{model: world.view[instance]},
+			Instance: instance, Service: "s", Zone: server.name[:1], Versions: map[string]int64{model: simulation.observed[instance]},
 		})
 	}
 	return list
 }
 
-func (world *world) find(instance string) *modelServer {
-	for _, server := range world.servers {
-		if server.instance() == instance && !world.now.Before(server.downTill) {
+func (simulation *simulation) find(instance string) *simServer {
+	for _, server := range simulation.servers {
+		if server.instance() == instance && !simulation.now.Before(server.downUntil) {
 			return server
 		}
 	}
 	return nil
 }
 
-func (world *world) order(order Order) {
-	server := world.find(order.Server.Instance)
+func (simulation *simulation) order(order Order) {
+	server := simulation.find(order.Server.Instance)
 	if server == nil {
-		world.machine.Answered(world.now, order.Server.Instance, ResultUnreached)
+		simulation.machine.OrderAnswered(simulation.now, order.Server.Instance, ResultUnreachable)
 		return
 	}
-	switch rapid.SampledFrom([]string{"fine", "fine", "fine", "late", "lost"}).Draw(world.t, "fate") {
+	switch rapid.SampledFrom([]string{"fine", "fine", "fine", "late", "lost"}).Draw(simulation.t, "fate") {
 	case "fine":
-		world.machine.Answered(world.now, order.Server.Instance, server.carryOut(world.now, order))
+		simulation.machine.OrderAnswered(simulation.now, order.Server.Instance, server.handleOrder(simulation.now, order))
 	case "late":
-		wait := time.Duration(rapid.IntRange(1000, 8000).Draw(world.t, "late")) * time.Millisecond
-		server.late = append(server.late, lateOrder{order: order, at: world.now.Add(wait)})
-		world.machine.Answered(world.now, order.Server.Instance, ResultUnknown)
+		wait := time.Duration(rapid.IntRange(1000, 8000).Draw(simulation.t, "late")) * time.Millisecond
+		server.delayed = append(server.delayed, delayedOrder{order: order, at: simulation.now.Add(wait)})
+		simulation.machine.OrderAnswered(simulation.now, order.Server.Instance, ResultUnknown)
 	case "lost":
-		server.carryOut(world.now, order)
-		world.machine.Answered(world.now, order.Server.Instance, ResultUnknown)
+		server.handleOrder(simulation.now, order)
+		simulation.machine.OrderAnswered(simulation.now, order.Server.Instance, ResultUnknown)
 	}
 }
 
-func (world *world) inspect(inspect Inspect) {
-	server := world.find(inspect.Server.Instance)
+func (simulation *simulation) inspect(inspect Inspect) {
+	server := simulation.find(inspect.Server.Instance)
 	if server == nil {
-		world.machine.Unheard(world.now, inspect.Server.Instance)
+		simulation.machine.InspectFailed(simulation.now, inspect.Server.Instance)
 		return
 	}
-	world.view[server.instance()] = server.version
-	world.machine.Inspected(world.now, server.instance(), Report{
+	simulation.observed[server.instance()] = server.version
+	simulation.machine.Inspected(simulation.now, server.instance(), Report{
 		Busy: server.loading != 0, Versions: map[string]int64{model: server.version}, Sequence: server.sequence,
 	})
 }
 
-func (world *world) tick() {
-	world.now = world.now.Add(50 * time.Millisecond)
+func (simulation *simulation) tick() {
+	simulation.now = simulation.now.Add(50 * time.Millisecond)
 	loading := 0
-	for _, server := range world.servers {
-		server.tick(world.now)
+	for _, server := range simulation.servers {
+		server.tick(simulation.now)
 		if server.loading != 0 {
 			loading++
 		}
 	}
-	world.most = max(world.most, loading)
-	for _, action := range world.machine.Step(world.now, world.targets, world.list()) {
+	simulation.peakLoading = max(simulation.peakLoading, loading)
+	for _, action := range simulation.machine.Step(simulation.now, simulation.targets, simulation.list()) {
 		switch action := action.(type) {
 		case Order:
-			world.order(action)
+			simulation.order(action)
 		case Inspect:
-			world.inspect(action)
+			simulation.inspect(action)
 		}
 	}
 }
 
-func (world *world) name(version int64) {
-	namings := append(catalog.Namings(nil), world.targets.Weights[model]...)
-	world.targets.Weights = map[string]catalog.Namings{model: append(namings, catalog.Naming{Version: version, NotNamedAt: world.now})}
+func (simulation *simulation) name(version int64) {
+	releases := append(catalog.Releases(nil), simulation.targets.Weights[model]...)
+	simulation.targets.Weights = map[string]catalog.Releases{model: append(releases, catalog.Release{Version: version, UnreleasedAt: simulation.now})}
 }
 
-func newWorld(t *rapid.T, servers int) *world {
-	world := &world{t: t, now: time.Unix(1000, 0), machine: NewMachine(), view: map[string]int64{}}
-	world.targets = Targets{Within: 6 * time.Second, Latest: 7 * time.Second, Weights: map[string]catalog.Namings{model: {{Version: 1}}}}
+func newSimulation(t *rapid.T, servers int) *simulation {
+	simulation := &simulation{t: t, now: time.Unix(1000, 0), machine: NewMachine(), observed: map[string]int64{}}
+	simulation.targets = Targets{FinishWithin: 6 * time.Second, OrderWithin: 7 * time.Second, Weights: map[string]catalog.Releases{model: {{Version: 1}}}}
 	for number := range servers {
-		world.servers = append(world.servers, &modelServer{name: fmt.Sprintf("%c%d", 'a'+number%3, number), version: 1})
+		simulation.servers = append(simulation.servers, &simServer{name: fmt.Sprintf("%c%d", 'a'+number%3, number), version: 1})
 	}
-	return world
+	return simulation
 }
 
-func TestEveryServerReachesTheNewestWeightsWhateverBecomesOfOrders(t *testing.T) {
+func TestEveryServerConvergesDespiteLostAndDelayedOrders(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		world := newWorld(t, rapid.IntRange(1, 20).Draw(t, "servers"))
-		newest := int64(1)
+		simulation := newSimulation(t, rapid.IntRange(1, 20).Draw(t, "servers"))
+		newestVersion := int64(1)
 		for range rapid.IntRange(1, 3).Draw(t, "namings") {
-			newest++
-			world.name(newest)
+			newestVersion++
+			simulation.name(newestVersion)
 			for range rapid.IntRange(5, 80).Draw(t, "ticks") {
-				world.tick()
+				simulation.tick()
 				if rapid.IntRange(0, 60).Draw(t, "crash") == 0 {
-					world.servers[rapid.IntRange(0, len(world.servers)-1).Draw(t, "who")].restart(world.now)
+					simulation.servers[rapid.IntRange(0, len(simulation.servers)-1).Draw(t, "who")].restart(simulation.now)
 				}
 			}
 		}
-		// Longer than the latest order that is still on its way.
+		// Longer than the delay of any order still in transit.
 		for range 1200 {
-			world.tick()
+			simulation.tick()
 		}
-		for _, server := range world.servers {
-			require.Equal(t, newest, server.version, server.name)
+		for _, server := range simulation.servers {
+			require.Equal(t, newestVersion, server.version, server.name)
 		}
-		require.False(t, Behind(world.targets, world.list(), world.now))
-		require.True(t, world.machine.Idle())
+		require.False(t, AnyBehind(simulation.targets, simulation.list(), simulation.now))
+		require.True(t, simulation.machine.Idle())
 	})
 }
 
-func TestTheOldestWeightsAreReplacedFirst(t *testing.T) {
+func TestOldestWeightsAreReplacedFirst(t *testing.T) {
 	machine := NewMachine()
 	now := time.Unix(1000, 0)
-	targets := Targets{Within: 6 * time.Second, Latest: 7 * time.Second, Weights: map[string]catalog.Namings{model: {
-		{Version: 1}, {Version: 2, NotNamedAt: now.Add(-4 * time.Second)}, {Version: 3, NotNamedAt: now.Add(-time.Second)},
+	targets := Targets{FinishWithin: 6 * time.Second, OrderWithin: 7 * time.Second, Weights: map[string]catalog.Releases{model: {
+		{Version: 1}, {Version: 2, UnreleasedAt: now.Add(-4 * time.Second)}, {Version: 3, UnreleasedAt: now.Add(-time.Second)},
 	}}}
 	servers := []backend.Server{
 		{Instance: "a", Service: "s", Versions: map[string]int64{model: 2}},
@@ -217,12 +217,12 @@
 	machine.Inspected(now, "a", Report{Versions: servers[0].Versions, Sequence: 4})
 	machine.Inspected(now, "b", Report{Versions: servers[1].Versions, Sequence: 2})
 	actions := machine.Step(now, targets, servers)
-	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, Runs: ContinueRuns}}, actions, "straight to the newest, one at a time")
+	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, InFlight: ContinueInFlight}}, actions, "straight to the newest, one at a time")
 }
 
-func TestMoreServersLoadTogetherWhenTimeIsShort(t *testing.T) {
+func TestConcurrencyRisesNearDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
-	targets := Targets{Within: time.Minute, Latest: time.Hour, Weights: map[string]catalog.Namings{model: {{Version: 1}, {Version: 2, NotNamedAt: now}}}}
+	targets := Targets{FinishWithin: time.Minute, OrderWithin: time.Hour, Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: now}}}}
 	orders := func(targets Targets) int {
 		machine := NewMachine()
 		servers := []backend.Server{}
@@ -234,18 +234,18 @@
 		return len(machine.Step(now, targets, servers))
 	}
 	require.Equal(t, 2, orders(targets))
-	targets.Within = 0
+	targets.FinishWithin = 0
 	require.Equal(t, 3, orders(targets))
-	targets.Latest = 0
+	targets.OrderWithin = 0
 	require.Equal(t, 12, orders(targets), "nothing may begin on the old weights any more")
-	targets.Within, targets.Latest = 6*time.Second, 7*time.Second
-	targets.Weights[model][1].NotNamedAt = now.Add(-10 * time.Second)
+	targets.FinishWithin, targets.OrderWithin = 6*time.Second, 7*time.Second
+	targets.Weights[model][1].UnreleasedAt = now.Add(-10 * time.Second)
 	require.Equal(t, 12, orders(targets))
-	targets.Disturbed = now.Add(-time.Second)
+	targets.DisruptedAt = now.Add(-time.Second)
 	require.Equal(t, 3, orders(targets), "the time in which the store was away does not count")
 }
 
-func TestTheStateSaysWhoIsAtIt(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	state := State{Holder: "n", Active: true}
 	decoded, err := DecodeState(state.Encode())
 	require.NoError(t, err)
@@ -254,9 +254,9 @@
 	require.Error(t, err)
 }
 
-func TestWhatIsLoadedIsToldUntilTheRolloutIsOver(t *testing.T) {
+func TestLoadedServersAreReportedUntilRolloutEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	targets := Targets{Within: time.Minute, Latest: time.Hour, Weights: map[string]catalog.Namings{model: {{Version: 2, NotNamedAt: now}}}}
+	targets := Targets{FinishWithin: time.Minute, OrderWithin: time.Hour, Weights: map[string]catalog.Releases{model: {{Version: 2, UnreleasedAt: now}}}}
 	machine := NewMachine()
 	at := func(versions ...int64) []backend.Server {
 		servers := []backend.Server{}
@@ -277,11 +277,11 @@
 	require.Equal(t, backend.Loads{}, machine.Loads())
 }
 
-func TestOfEachZoneTheServerWithTheLeastWorkLoadsFirst(t *testing.T) {
+func TestLeastLoadedServerOfEachZoneGoesFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	machine := NewMachine()
 	targets := Targets{
-		Within: time.Minute, Latest: time.Hour, Weights: map[string]catalog.Namings{model: {{Version: 1}, {Version: 2, NotNamedAt: now}}},
+		FinishWithin: time.Minute, OrderWithin: time.Hour, Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: now}}},
 		Uses: map[string]backend.Use{"i-0": {Running: 3}, "i-2": {Running: 1, QueuedTokens: 9}, "i-4": {Running: 1}, "i-1": {Running: 8}, "i-3": {Running: 9}, "i-5": {Running: 7}},
 	}
 	var servers []backend.Server
@@ -300,20 +300,20 @@
 	require.Equal(t, []string{"i-4", "i-5"}, ordered)
 }
 
-func TestAServerIsToldOfBeforeItsOrderIfThereIsTime(t *testing.T) {
+func TestOrderWaitsForPropagation(t *testing.T) {
 	const notice = 200 * time.Millisecond
 	now := time.Unix(1000, 0)
 	targets := Targets{
-		Within: time.Minute, Latest: time.Hour, Notice: notice,
-		Weights: map[string]catalog.Namings{model: {{Version: 1}, {Version: 2, NotNamedAt: now}}},
+		FinishWithin: time.Minute, OrderWithin: time.Hour, PropagationDelay: notice,
+		Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: now}}},
 	}
 	servers := []backend.Server{{Instance: "i", Service: "s", Versions: map[string]int64{model: 1}}}
-	begin := func() *Machine {
+	newMachine := func() *Machine {
 		machine := NewMachine()
 		machine.Inspected(now, "i", Report{Versions: servers[0].Versions})
 		return machine
 	}
-	machine := begin()
+	machine := newMachine()
 	require.Empty(t, machine.Step(now, targets, servers))
 	require.Len(t, machine.Loads().Loading, 1)
 	require.False(t, machine.Idle())
@@ -323,18 +323,18 @@
 	require.Equal(t, int64(2), orders[0].(Order).Version)
 	require.Empty(t, machine.Step(now.Add(notice), targets, servers), "it goes out once")
 
-	targets.Latest = notice / 2
-	require.Len(t, begin().Step(now, targets, servers), 1, "there is no time")
+	targets.OrderWithin = notice / 2
+	require.Len(t, newMachine().Step(now, targets, servers), 1, "there is no time")
 }
 
-// The time of the notice does not slow the roll-out down: as many servers load at a time
-// as without it.
-func TestTheNoticeDoesNotSlowTheRollOut(t *testing.T) {
+// Guards against a slower rollout due to the propagation delay: the same number of servers must
+// load concurrently as without it.
+func TestPropagationDelayDoesNotReduceConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
-	planned := func(notice time.Duration) int {
+	planned := func(propagation time.Duration) int {
 		targets := Targets{
-			Within: time.Minute, Latest: time.Hour, Notice: notice,
-			Weights: map[string]catalog.Namings{model: {{Version: 1}, {Version: 2, NotNamedAt: now}}},
+			FinishWithin: time.Minute, OrderWithin: time.Hour, PropagationDelay: propagation,
+			Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: now}}},
 		}
 		machine := NewMachine()
 		var servers []backend.Server
@@ -347,11 +347,11 @@
 		return len(machine.Loads().Loading)
 	}
 	require.Equal(t, 40, planned(0))
-	require.Equal(t, 60, planned(assumedLoad/2))
+	require.Equal(t, 60, planned(defaultLoadTime/2))
 }
 
-func TestAServerThatRestsIsOrderedAfterwardsOrWhenItMust(t *testing.T) {
-	begin := time.Unix(1000, 0)
+func TestServerInBackoffIsOrderedLaterOrAtDeadline(t *testing.T) {
+	start := time.Unix(1000, 0)
 	server := backend.Server{Instance: "i-1", Service: "s", Versions: map[string]int64{model: 1}}
 	for name, one := range map[string]struct{ rest, ordered time.Duration }{
 		"a short rest":               {rest: 2 * time.Second, ordered: 2 * time.Second},
@@ -360,13 +360,13 @@
 		t.Run(name, func(t *testing.T) {
 			machine := NewMachine()
 			targets := Targets{
-				Within: 6 * time.Second, Latest: 7 * time.Second, Resting: map[string]time.Time{"i-1": begin.Add(one.rest)},
-				Weights: map[string]catalog.Namings{model: {{Version: 1}, {Version: 2, NotNamedAt: begin}}},
+				FinishWithin: 6 * time.Second, OrderWithin: 7 * time.Second, Resting: map[string]time.Time{"i-1": start.Add(one.rest)},
+				Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: start}}},
 			}
 			ordered := time.Time{}
-			for now := begin; ordered.IsZero() && now.Before(begin.Add(10*time.Second)); now = now.Add(50 * time.Millisecond) {
+			for now := start; ordered.IsZero() && now.Before(start.Add(10*time.Second)); now = now.Add(50 * time.Millisecond) {
 				for _, action := range machine.Step(now, targets, []backend.Server{server}) {
-					require.False(t, now.Before(begin.Add(one.ordered)), "it is neither asked nor ordered while it rests")
+					require.False(t, now.Before(start.Add(one.ordered)), "it is neither asked nor ordered while it rests")
 					switch action.(type) {
 					case Inspect:
 						machine.Inspected(now, "i-1", Report{Versions: server.Versions})
@@ -375,7 +375,7 @@
 					}
 				}
 			}
-			require.WithinDuration(t, begin.Add(one.ordered), ordered, 300*time.Millisecond)
+			require.WithinDuration(t, start.Add(one.ordered), ordered, 300*time.Millisecond)
 		})
 	}
 }
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -1,24 +1,24 @@
 package routing
 
-// Reason names why an endpoint may not be used.
+// Reason is why an endpoint is rejected.
 type Reason string
 
-// The reasons, in the order in which they are checked.
+// The rejection reasons.
 const (
-	Accepted       Reason = ""
-	ReasonExcluded Reason = "excluded"
-	ReasonDown     Reason = "down"
-	ReasonLeaving  Reason = "leaving"
-	ReasonAsked    Reason = "asked_for_rest"
-	ReasonLimited  Reason = "limited"
-	ReasonNotReady Reason = "not_ready"
-	ReasonResting  Reason = "resting"
-	ReasonFull     Reason = "full"
-	ReasonBusy     Reason = "busy"
+	Accepted          Reason = ""
+	ReasonExcluded    Reason = "excluded"
+	ReasonDown        Reason = "down"
+	ReasonLeaving     Reason = "leaving"
+	ReasonBackoff     Reason = "asked_for_rest"
+	ReasonLimited     Reason = "limited"
+	ReasonNotReady    Reason = "not_ready"
+	ReasonBreakerOpen Reason = "resting"
+	ReasonFull        Reason = "full"
+	ReasonBusy        Reason = "busy"
 )
 
-// Filter says whether the request may go to the candidate. Reasons that will
-// not pass by waiting come first, so that the reason shown is the strongest.
+// Filter returns why the candidate is rejected, or Accepted. Reasons that do not pass
+// by waiting are checked first, so that the strongest reason is reported.
 func Filter(request *Request, candidate *Candidate) Reason {
 	switch {
 	case candidate.Excluded:
@@ -27,14 +27,14 @@
 		return ReasonDown
 	case candidate.Leaving:
 		return ReasonLeaving
-	case candidate.RestLeft > 0:
-		return ReasonAsked
+	case candidate.BackoffLeft > 0:
+		return ReasonBackoff
 	case candidate.LimitWait > 0:
 		return ReasonLimited
 	case !candidate.Ready:
 		return ReasonNotReady
-	case candidate.Resting, candidate.Probing:
-		return ReasonResting
+	case candidate.BreakerOpen, candidate.Probing:
+		return ReasonBreakerOpen
 	case candidate.Busy:
 		return ReasonBusy
 	case request.ConcurrentPerEngine > 0 && candidate.InFlight >= request.ConcurrentPerEngine:
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -3,44 +3,44 @@
 import "slices"
 
 const (
-	// drawn is how many candidates of each kind of weights are drawn for a request, beside
-	// those that may hold its prefix: two are enough to spread the load.
-	drawn = 2
-	// firsts is how many of the first ones by affinity stay candidates.
-	firsts = 2
-	// kept is how many of those that hold most of the prefix stay candidates.
-	kept = 2
+	// sampledPerGroup is the number of candidates sampled at random from those with the
+	// newest weights, and from all others. Two are enough to spread the load.
+	sampledPerGroup = 2
+	// affinityKept is the number of candidates kept by affinity rank.
+	affinityKept = 2
+	// hitsKept is the number of candidates kept because they hold most of the prefix.
+	hitsKept = 2
 )
 
-// sample leaves of the accepted candidates those that a request may choose from: the
-// first ones by affinity, those that hold most of its prefix, and a few that are drawn
-// for it alone, of the newest weights and of all others. Nodes know late of each other's
-// choices: if all chose the best of all, each would send what comes in that time to the
-// same endpoint, whose queue then passes all others.
-func sample(draw uint64, candidates []Candidate, accepted []int) []int {
+// sampleCandidates reduces the accepted candidates to those that a request may choose
+// from: the first ones by affinity, those that hold most of its prefix, and a random
+// sample of those with the newest weights and of all others. Nodes learn of each other's
+// choices with a delay. If they all picked the best of all candidates, they would all send
+// the requests of that time to the same endpoint, whose queue would outgrow all others.
+func sampleCandidates(seed uint64, candidates []Candidate, accepted []int) []int {
 	newest := int64(0)
 	for _, index := range accepted {
 		newest = max(newest, candidates[index].Version)
 	}
-	hits := &best{most: kept, measure: func(index int) uint64 { return uint64(candidates[index].HitBlocks) }}
-	current := &best{most: drawn, measure: func(index int) uint64 { return mix(draw ^ candidates[index].Affinity) }}
-	others := &best{most: drawn, measure: current.measure}
+	hitGroup := &topK{limit: hitsKept, score: func(index int) uint64 { return uint64(candidates[index].HitBlocks) }}
+	newestGroup := &topK{limit: sampledPerGroup, score: func(index int) uint64 { return mix(seed ^ candidates[index].Affinity) }}
+	olderGroup := &topK{limit: sampledPerGroup, score: newestGroup.score}
 	var sampled []int
 	for _, index := range accepted {
 		switch c := &candidates[index]; {
-		case c.AffinityRank < firsts:
+		case c.AffinityRank < affinityKept:
 			sampled = append(sampled, index)
 			continue
 		case c.HitBlocks > 0:
-			hits.offer(index)
+			hitGroup.offer(index)
 		}
 		if candidates[index].Version == newest {
-			current.offer(index)
+			newestGroup.offer(index)
 		} else {
-			others.offer(index)
+			olderGroup.offer(index)
 		}
 	}
-	for _, group := range []*best{hits, current, others} {
+	for _, group := range []*topK{hitGroup, newestGroup, olderGroup} {
 		for _, index := range group.indexes {
 			if !slices.Contains(sampled, index) {
 				sampled = append(sampled, index)
@@ -50,20 +50,20 @@
 	return sampled
 }
 
-// best keeps the indexes with the highest measures.
-type best struct {
-	most    int
-	measure func(index int) uint64
+// topK keeps the indexes with the highest scores, up to limit.
+type topK struct {
+	limit   int
+	score   func(index int) uint64
 	indexes []int
 }
 
-func (b *best) offer(index int) {
-	if len(b.indexes) < b.most {
-		b.indexes = append(b.indexes, index)
+func (t *topK) offer(index int) {
+	if len(t.indexes) < t.limit {
+		t.indexes = append(t.indexes, index)
 		return
 	}
-	lowest := slices.MinFunc(b.indexes, func(i, j int) int {
-		switch first, second := b.measure(i), b.measure(j); {
+	lowest := slices.MinFunc(t.indexes, func(i, j int) int {
+		switch first, second := t.score(i), t.score(j); {
 		case first < second:
 			return -1
 		case first > second:
@@ -72,12 +72,12 @@
 			return 0
 		}
 	})
-	if b.measure(index) > b.measure(lowest) {
-		b.indexes[slices.Index(b.indexes, lowest)] = index
+	if t.score(index) > t.score(lowest) {
+		t.indexes[slices.Index(t.indexes, lowest)] = index
 	}
 }
 
-// mix spreads the bits of a number (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -11,7 +11,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestASampleKeepsWhatMayHoldThePrefix(t *testing.T) {
+func TestSampleKeepsBestHitsAndNewestVersion(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		var candidates []Candidate
 		var accepted []int
@@ -25,17 +25,17 @@
 				accepted = append(accepted, index)
 			}
 		}
-		rank(candidates, accepted)
-		sampled := sample(rapid.Uint64Min(1).Draw(t, "draw"), candidates, accepted)
+		assignAffinityRanks(candidates, accepted)
+		sampled := sampleCandidates(rapid.Uint64Min(1).Draw(t, "draw"), candidates, accepted)
 		require.Subset(t, accepted, sampled)
-		require.LessOrEqual(t, len(sampled), firsts+kept+2*drawn)
-		require.Len(t, unique(sampled), len(sampled))
+		require.LessOrEqual(t, len(sampled), affinityKept+hitsKept+2*sampledPerGroup)
+		require.Len(t, indexSet(sampled), len(sampled))
 		require.Equal(t, len(accepted) == 0, len(sampled) == 0)
 		most, newest := 0, int64(0)
 		for _, index := range accepted {
 			most = max(most, candidates[index].HitBlocks)
 			newest = max(newest, candidates[index].Version)
-			if candidates[index].AffinityRank < firsts {
+			if candidates[index].AffinityRank < affinityKept {
 				require.Contains(t, sampled, index, "the first by affinity stay")
 			}
 		}
@@ -49,7 +49,7 @@
 	})
 }
 
-func unique(indexes []int) map[int]bool {
+func indexSet(indexes []int) map[int]bool {
 	all := map[int]bool{}
 	for _, index := range indexes {
 		all[index] = true
@@ -57,25 +57,25 @@
 	return all
 }
 
-// Nodes that know each other's choices only a while later do not all choose the same
-// endpoint. Each of 90 endpoints ends 4 requests a round, and 300 requests come that
-// choose by what was true three rounds before.
-func TestChoicesByOldKnowledgeDoNotCrowd(t *testing.T) {
-	longest := func(draw func(random *rand.Rand) uint64) int {
+// Guards against nodes that learn of each other's choices with a delay all choosing the
+// same endpoint. Each of 90 endpoints completes 4 requests per round, and 300 requests
+// arrive that choose by the load of three rounds ago.
+func TestSamplingAvoidsHerdingOnStaleLoad(t *testing.T) {
+	longestQueue := func(sampleSeed func(random *rand.Rand) uint64) int {
 		random := rand.New(rand.NewPCG(1, 2))
 		const endpoints, late = 90, 3
 		running := [endpoints]int{}
-		var known [][endpoints]int
+		var history [][endpoints]int
 		most := 0
 		for range 60 {
-			known = append(known, running)
-			seen := known[max(0, len(known)-1-late)]
+			history = append(history, running)
+			observed := history[max(0, len(history)-1-late)]
 			for range 300 {
 				candidates := make([]Candidate, endpoints)
 				for i := range candidates {
-					candidates[i] = Candidate{Endpoint: fmt.Sprint(i), Ready: true, Version: 1, Running: seen[i], Slots: 4, Affinity: random.Uint64()}
+					candidates[i] = Candidate{Endpoint: fmt.Sprint(i), Ready: true, Version: 1, Running: observed[i], Slots: 4, Affinity: random.Uint64()}
 				}
-				request := &Request{PromptTokens: 500, BlockTokens: 1, PrefillTokensPerSecond: 40_000, WaitWeight: 1, SlotSeconds: 0.5, Draw: draw(random)}
+				request := &Request{PromptTokens: 500, BlockTokens: 1, PrefillTokensPerSecond: 40_000, WaitWeight: 1, SlotSeconds: 0.5, SampleSeed: sampleSeed(random)}
 				running[NewScheduler(WaitScorer{}).Schedule(request, candidates).Index]++
 			}
 			for i := range running {
@@ -85,8 +85,8 @@
 		}
 		return most
 	}
-	all := longest(func(*rand.Rand) uint64 { return 0 })
-	few := longest(func(random *rand.Rand) uint64 { return random.Uint64() | 1 })
-	t.Logf("longest queue: %d if all are compared, %d if few are", all, few)
-	require.Less(t, 3*few, 2*all)
+	withoutSampling := longestQueue(func(*rand.Rand) uint64 { return 0 })
+	withSampling := longestQueue(func(random *rand.Rand) uint64 { return random.Uint64() | 1 })
+	t.Logf("longest queue: %d if all are compared, %d if few are", withoutSampling, withSampling)
+	require.Less(t, 3*withSampling, 2*withoutSampling)
 }
--- a/internal/routing/scheduler.go
+++ b/internal/routing/scheduler.go
@@ -6,42 +6,44 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// Scorer puts a price on serving the request at the candidate, in seconds of
-// engine time.
+// Scorer computes one term of the cost of serving a request on a candidate, in seconds
+// of engine time.
 type Scorer interface {
-	// Name tells the price apart from those of other scorers.
+	// Name returns the name of the term.
 	Name() string
 	Score(request *Request, candidate *Candidate) float64
 }
 
-// Scheduler filters, scores and picks. It keeps scratch memory between
-// decisions and is not safe for concurrent use.
+// Scheduler filters and scores candidates and picks the cheapest. It reuses buffers
+// between decisions and is not safe for concurrent use.
 type Scheduler struct {
-	scorers  []Scorer
-	accepted []int
-	costs    []float64
-	held     map[prefixindex.Holder]int
+	scorers    []Scorer
+	accepted   []int
+	costs      []float64
+	heldBlocks map[prefixindex.Holder]int
 }
 
-// NewScheduler returns a scheduler with the given scorers, or with all of them.
+// NewScheduler returns a scheduler with the given scorers. Without any, it uses the
+// work, wait and affinity scorers.
 func NewScheduler(scorers ...Scorer) *Scheduler {
 	if len(scorers) == 0 {
 		scorers = []Scorer{WorkScorer{}, WaitScorer{}, AffinityScorer{}}
 	}
-	return &Scheduler{scorers: scorers, held: map[prefixindex.Holder]int{}}
+	return &Scheduler{scorers: scorers, heldBlocks: map[prefixindex.Holder]int{}}
 }
 
 // Decision is the outcome of one placement.
 type Decision struct {
-	// Index of the chosen candidate, or -1; Next, that of the cheapest other one.
+	// Index is the index of the chosen candidate, and Next that of the next cheapest; -1
+	// if there is none.
 	Index int
 	Next  int
-	// Refused is why the last refused candidate was refused, for the message
-	// when none was accepted. Full wins over the others: it passes by waiting.
-	Refused Reason
+	// LastRejection is the reason of the last rejected candidate, for the message when
+	// none was accepted. ReasonFull overrides the others, since it passes by waiting.
+	LastRejection Reason
 }
 
-// Schedule chooses among the candidates. It fills in their affinity ranks.
+// Schedule chooses one of the candidates. It fills in their affinity ranks.
 func (scheduler *Scheduler) Schedule(request *Request, candidates []Candidate) Decision {
 	decision := Decision{Index: -1, Next: -1}
 	scheduler.accepted = scheduler.accepted[:0]
@@ -50,35 +52,35 @@
 		reason := Filter(request, &candidates[index])
 		if reason == Accepted {
 			scheduler.accepted = append(scheduler.accepted, index)
-		} else if decision.Refused != ReasonFull {
-			decision.Refused = reason
+		} else if decision.LastRejection != ReasonFull {
+			decision.LastRejection = reason
 		}
 	}
-	rank(candidates, scheduler.accepted)
-	if request.Draw != 0 && Scarce(candidates) {
-		scheduler.accepted = sample(request.Draw, candidates, scheduler.accepted)
+	assignAffinityRanks(candidates, scheduler.accepted)
+	if request.SampleSeed != 0 && SlotsScarce(candidates) {
+		scheduler.accepted = sampleCandidates(request.SampleSeed, candidates, scheduler.accepted)
 	}
 	for _, index := range scheduler.accepted {
 		scheduler.costs = append(scheduler.costs, scheduler.Cost(request, &candidates[index]))
 	}
 	decision.Index = Pick(candidates, scheduler.accepted, scheduler.costs)
-	decision.Next = scheduler.next(candidates, decision.Index)
+	decision.Next = scheduler.runnerUp(candidates, decision.Index)
 	return decision
 }
 
-// next returns the cheapest of the accepted candidates besides the chosen one.
-func (scheduler *Scheduler) next(candidates []Candidate, chosen int) int {
-	place := slices.Index(scheduler.accepted, chosen)
-	if place < 0 {
+// runnerUp returns the cheapest accepted candidate other than the chosen one, or -1.
+func (scheduler *Scheduler) runnerUp(candidates []Candidate, chosen int) int {
+	position := slices.Index(scheduler.accepted, chosen)
+	if position < 0 {
 		return -1
 	}
 	last := len(scheduler.accepted) - 1
-	scheduler.accepted[place], scheduler.costs[place] = scheduler.accepted[last], scheduler.costs[last]
+	scheduler.accepted[position], scheduler.costs[position] = scheduler.accepted[last], scheduler.costs[last]
 	return Pick(candidates, scheduler.accepted[:last], scheduler.costs[:last])
 }
 
-// Cost is what it costs to serve the request at a candidate whose affinity rank is filled in, in
-// seconds of engine time.
+// Cost returns the cost of serving the request on a candidate, in seconds of engine time. The
+// candidate's affinity rank must be filled in.
 func (scheduler *Scheduler) Cost(request *Request, candidate *Candidate) float64 {
 	cost := 0.0
 	for _, scorer := range scheduler.scorers {
@@ -87,13 +89,13 @@
 	return cost
 }
 
-// Term is one part of the cost of a candidate, in seconds of engine time.
+// Term is one term of the cost of a candidate, in seconds of engine time.
 type Term struct {
 	Name    string
 	Seconds float64
 }
 
-// Terms returns the parts of a candidate's cost that are not 0.
+// Terms returns the non-zero terms of a candidate's cost.
 func (scheduler *Scheduler) Terms(request *Request, candidate *Candidate) []Term {
 	terms := make([]Term, 0, len(scheduler.scorers))
 	for _, scorer := range scheduler.scorers {
@@ -104,20 +106,20 @@
 	return terms
 }
 
-// rank fills in the places of the few highest affinities; all others share the
-// last place. It is linear in the candidates.
-func rank(candidates []Candidate, accepted []int) {
+// assignAffinityRanks ranks the candidates with the highest affinities; all others get
+// maximumRank. It takes linear time.
+func assignAffinityRanks(candidates []Candidate, accepted []int) {
 	for _, index := range accepted {
 		candidates[index].AffinityRank = maximumRank
 	}
-	for place := range min(maximumRank, len(accepted)) {
+	for position := range min(maximumRank, len(accepted)) {
 		best := -1
 		for _, index := range accepted {
-			unplaced := candidates[index].AffinityRank == maximumRank
-			if unplaced && (best < 0 || candidates[index].Affinity > candidates[best].Affinity) {
+			unranked := candidates[index].AffinityRank == maximumRank
+			if unranked && (best < 0 || candidates[index].Affinity > candidates[best].Affinity) {
 				best = index
 			}
 		}
-		candidates[best].AffinityRank = place
+		candidates[best].AffinityRank = position
 	}
 }
--- a/internal/routing/scheduler_test.go
+++ b/internal/routing/scheduler_test.go
@@ -18,14 +18,14 @@
 		candidates = append(candidates, Candidate{
 			Endpoint: fmt.Sprint("engine-", index), Epoch: "e",
 			Ready: rapid.Bool().Draw(t, "ready"), Leaving: rapid.Bool().Draw(t, "leaving"), Down: rapid.Bool().Draw(t, "down"),
-			Resting: rapid.Bool().Draw(t, "resting"), Excluded: rapid.Bool().Draw(t, "excluded"),
+			BreakerOpen: rapid.Bool().Draw(t, "resting"), Excluded: rapid.Bool().Draw(t, "excluded"),
 			InFlight: rapid.IntRange(0, 8).Draw(t, "in flight"), QueuedTokens: rapid.IntRange(0, 10_000).Draw(t, "queued"),
 		})
 	}
 	return candidates
 }
 
-func TestNeverChoosesARefusedCandidate(t *testing.T) {
+func TestScheduleNeverPicksRejectedCandidate(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		request := &Request{PromptTokens: 4000, BlockTokens: 1000, Blocks: 4, PrefillTokensPerSecond: 20_000, ConcurrentPerEngine: 8, WaitWeight: 1, WorkWeight: 1}
@@ -38,14 +38,14 @@
 		}
 		if accepted == 0 {
 			require.Equal(t, -1, decision.Index)
-			require.NotEqual(t, Accepted, decision.Refused)
+			require.NotEqual(t, Accepted, decision.LastRejection)
 			return
 		}
 		require.Equal(t, Accepted, Filter(request, &candidates[decision.Index]))
 	})
 }
 
-func TestAllNodesChooseAlike(t *testing.T) {
+func TestScheduleIsIndependentOfCandidateOrder(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		key := prefix.Hash(rapid.Uint64().Draw(t, "key"))
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestHolderWinsUntilItsQueueCostsMore(t *testing.T) {
+func TestCacheHolderWinsUntilQueueCostsMore(t *testing.T) {
 	request := &Request{PromptTokens: 10_000, BlockTokens: 1000, Blocks: 10, PrefillTokensPerSecond: 20_000, WaitWeight: 1, WorkWeight: 1}
 	candidates := []Candidate{{Endpoint: "holder", Ready: true, HitBlocks: 10}, {Endpoint: "other", Ready: true, Affinity: 1}}
 	require.Equal(t, 0, NewScheduler().Schedule(request, candidates).Index)
@@ -69,14 +69,14 @@
 	require.Equal(t, 1, NewScheduler().Schedule(request, candidates).Index)
 }
 
-func TestEntriesOfADeadIncarnationDoNotCount(t *testing.T) {
+func TestAnnotateIgnoresOtherIncarnations(t *testing.T) {
 	candidates := []Candidate{{Endpoint: "e", Epoch: "new"}}
 	NewScheduler().Annotate(candidates, 1, []prefixindex.Depth{{Holder: prefixindex.NewHolder("e", "old"), Blocks: 5}}, "")
 	require.Zero(t, candidates[0].HitBlocks)
 }
 
-// BenchmarkDecision is a whole placement against a 64-block prompt and 100
-// engines, half of which hold some of it.
+// BenchmarkDecision measures a complete placement of a 64-block prompt by number of engines,
+// half of which hold part of it.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(engines, "engines"), func(b *testing.B) {
--- a/internal/routing/score_opaque_test.go
+++ b/internal/routing/score_test.go
@@ -9,10 +9,10 @@
 // longPrompt is a request most of whose prompt is shared.
 var longPrompt = &Request{
 	PromptTokens: 10_000, BlockTokens: 1, Blocks: 8_000, PrefillTokensPerSecond: 40_000, ImportTokensPerSecond: 160_000,
-	WaitWeight: 1, WorkWeight: 4, Bytes: 20_000, FailureCost: 1, TurnSeconds: 0.01,
+	WaitWeight: 1, WorkWeight: 4, Bytes: 20_000, FailureCost: 1, ConcurrencyCost: 0.01,
 }
 
-func TestACopyCostsWhatItTakesToGetThere(t *testing.T) {
+func TestCopyScorerChargesMissingBlocks(t *testing.T) {
 	first := &Candidate{AffinityRank: 0}
 	second := &Candidate{AffinityRank: 1}
 	kept := &Candidate{AffinityRank: 1, ImportBlocks: 8_000}
@@ -24,21 +24,21 @@
 	require.Zero(t, scorer.Score(longPrompt, holder))
 }
 
-func TestAFarEndpointCostsByTheSizeOfTheRequest(t *testing.T) {
+func TestDistanceScorerChargesRequestSize(t *testing.T) {
 	scorer := DistanceScorer{}
 	require.Zero(t, scorer.Score(longPrompt, &Candidate{}))
 	require.InDelta(t, distanceCost+0.06, scorer.Score(longPrompt, &Candidate{Distance: 1}), 1e-9)
 	require.InDelta(t, 2*distanceCost+0.12, scorer.Score(longPrompt, &Candidate{Distance: 2}), 1e-9)
 }
 
-func TestFailuresAndTurnsArePriced(t *testing.T) {
-	require.InDelta(t, 0.25, FailureScorer{}.Score(longPrompt, &Candidate{FailureShare: 0.25}), 1e-9)
-	require.InDelta(t, 0.03, TurnScorer{}.Score(longPrompt, &Candidate{Running: 3}), 1e-9)
+func TestFailureAndConcurrencyScorers(t *testing.T) {
+	require.InDelta(t, 0.25, FailureScorer{}.Score(longPrompt, &Candidate{FailureRate: 0.25}), 1e-9)
+	require.InDelta(t, 0.03, ConcurrencyScorer{}.Score(longPrompt, &Candidate{Running: 3}), 1e-9)
 }
 
-func TestNewerWeightsWinUntilTheirQueueCostsMoreThanTheLoss(t *testing.T) {
+func TestNewerWeightsWinUntilQueueCostsMoreThanLoss(t *testing.T) {
 	request := *longPrompt
-	request.AnswerWorth = 2
+	request.AnswerValue = 2
 	candidates := []Candidate{{Endpoint: "old", Ready: true, ReplacedLoss: 0.2, HitBlocks: 8_000}, {Endpoint: "new", Ready: true, HitBlocks: 8_000}}
 	scheduler := NewScheduler(WorkScorer{}, WaitScorer{}, ReplacedScorer{})
 	require.Equal(t, 1, scheduler.Schedule(&request, candidates).Index)
@@ -46,7 +46,7 @@
 	require.Equal(t, 0, scheduler.Schedule(&request, candidates).Index, "0.4 s are lost, 0.425 s would be waited")
 }
 
-func TestADecisionNamesTheNextBestAndTheTermsOfBoth(t *testing.T) {
+func TestDecisionReportsRunnerUpAndTerms(t *testing.T) {
 	candidates := []Candidate{
 		{Endpoint: "dear", Ready: true, Distance: 2}, {Endpoint: "best", Ready: true},
 		{Endpoint: "next", Ready: true, Distance: 1}, {Endpoint: "refused"},
@@ -61,7 +61,7 @@
 	require.Equal(t, -1, scheduler.Schedule(longPrompt, candidates[3:]).Next)
 }
 
-func TestABusyEndpointIsPassedOver(t *testing.T) {
+func TestBusyEndpointIsRejected(t *testing.T) {
 	candidates := []Candidate{{Endpoint: "busy", Ready: true, Busy: true, HitBlocks: 8_000}, {Endpoint: "free", Ready: true}}
 	require.Equal(t, 1, NewScheduler().Schedule(longPrompt, candidates).Index)
 }
--- a/internal/routing/score_wait_test.go
+++ b/internal/routing/score_wait_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAFullEndpointIsWaitedFor(t *testing.T) {
+func TestWaitScorerIncludesSlotWait(t *testing.T) {
 	request := &Request{PromptTokens: 100, BlockTokens: 1, PrefillTokensPerSecond: 10_000, WaitWeight: 1, SlotSeconds: 2}
 	free := Candidate{Slots: 16, Running: 15}
 	full := Candidate{Slots: 16, Running: 23}
--- a/internal/routing/score_work.go
+++ b/internal/routing/score_work.go
@@ -1,7 +1,7 @@
 package routing
 
-// WorkScorer is the engine time that the request itself spends on the part of
-// its prompt that the endpoint does not hold.
+// WorkScorer charges the engine time for the part of the prompt that the endpoint does
+// not hold.
 type WorkScorer struct{}
 
 // Name returns the name of the term.
@@ -9,33 +9,33 @@
 
 // Score returns seconds of engine time.
 func (WorkScorer) Score(request *Request, candidate *Candidate) float64 {
-	recompute, imported := Missing(request, candidate)
-	return request.WorkWeight * seconds(request, candidate, recompute, imported)
+	recompute, imported := MissingTokens(request, candidate)
+	return request.WorkWeight * prefillSeconds(request, candidate, recompute, imported)
 }
 
-// Missing splits the prompt tokens that the endpoint does not hold into those
-// that it must compute and those that it can import.
-func Missing(request *Request, candidate *Candidate) (recompute, imported int) {
+// MissingTokens splits the prompt tokens that the endpoint does not hold into those that
+// it must compute and those that it can import.
+func MissingTokens(request *Request, candidate *Candidate) (recompute, imported int) {
 	covered := candidate.HitBlocks
-	if importSpeed(request, candidate) > request.PrefillTokensPerSecond && candidate.ImportBlocks > covered {
+	if importRate(request, candidate) > request.PrefillTokensPerSecond && candidate.ImportBlocks > covered {
 		imported = (candidate.ImportBlocks - covered) * request.BlockTokens
 		covered = candidate.ImportBlocks
 	}
 	return max(0, request.PromptTokens-covered*request.BlockTokens), imported
 }
 
-// importSpeed is how many tokens the candidate takes from elsewhere in a second.
-func importSpeed(request *Request, candidate *Candidate) float64 {
+// importRate returns how many tokens per second the candidate can import.
+func importRate(request *Request, candidate *Candidate) float64 {
 	if candidate.ImportTokensPerSecond > 0 {
 		return candidate.ImportTokensPerSecond
 	}
 	return request.ImportTokensPerSecond
 }
 
-func seconds(request *Request, candidate *Candidate, recompute, imported int) float64 {
+func prefillSeconds(request *Request, candidate *Candidate, recompute, imported int) float64 {
 	total := float64(recompute) / request.PrefillTokensPerSecond
 	if imported > 0 {
-		total += float64(imported) / importSpeed(request, candidate)
+		total += float64(imported) / importRate(request, candidate)
 	}
 	return total
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,50 +7,50 @@
 	"github.com/cloverrail/cloverrail/internal/catalog"
 )
 
-// Metrics are the counters of one proxy. Keys, prompts and answers never stand
-// in labels.
+// Metrics holds the metrics of one proxy. Labels never contain keys, prompts or responses.
 type Metrics struct {
-	Registry        *prometheus.Registry
-	requests        *prometheus.CounterVec
-	attempts        *prometheus.CounterVec
-	firstAnswer     *prometheus.HistogramVec
-	reads           *prometheus.CounterVec
-	orders          *prometheus.CounterVec
-	connections     *prometheus.CounterVec
-	replaced        prometheus.Counter
-	limited         prometheus.Counter
-	overLimits      *prometheus.CounterVec
-	deferred        prometheus.Counter
-	conflicts       prometheus.Counter
-	heldOff         prometheus.Counter
-	suspicions      *prometheus.CounterVec
-	cleared         prometheus.Counter
-	notices         *prometheus.CounterVec
-	wentBack        prometheus.Counter
-	unreadable      *prometheus.CounterVec
-	garbled         prometheus.Counter
-	follows         prometheus.Counter
-	storeCalls      *prometheus.CounterVec
-	serverCalls     *prometheus.CounterVec
-	heardBytes      *prometheus.HistogramVec
-	version         prometheus.Gauge
-	suppressedLines prometheus.Counter
+	Registry           *prometheus.Registry
+	requests           *prometheus.CounterVec
+	attempts           *prometheus.CounterVec
+	firstResponse      *prometheus.HistogramVec
+	reads              *prometheus.CounterVec
+	orders             *prometheus.CounterVec
+	connections        *prometheus.CounterVec
+	replacedPlacements prometheus.Counter
+	rateLimited        prometheus.Counter
+	overLimits         *prometheus.CounterVec
+	deferred           prometheus.Counter
+	conflicts          prometheus.Counter
+	quarantined        prometheus.Counter
+	suspicions         *prometheus.CounterVec
+	cleared            prometheus.Counter
+	notices            *prometheus.CounterVec
+	storeRestores      prometheus.Counter
+	unreadable         *prometheus.CounterVec
+	malformedUpdates   prometheus.Counter
+	upstreamChanges    prometheus.Counter
+	storeCalls         *prometheus.CounterVec
+	serverCalls        *prometheus.CounterVec
+	peerResponseBytes  *prometheus.HistogramVec
+	declarationVersion prometheus.Gauge
+	suppressedLines    prometheus.Counter
 }
 
-// firstAnswerBuckets reach from 5 ms to 10 s.
-var firstAnswerBuckets = prometheus.ExponentialBuckets(0.005, 2, 12)
+// firstResponseBuckets range from 5 ms to 10 s.
+var firstResponseBuckets = prometheus.ExponentialBuckets(0.005, 2, 12)
 
-// heardBuckets reach from an answer without news, some 200 bytes, to the whole list of a large
-// fleet.
-var heardBuckets = prometheus.ExponentialBuckets(256, 4, 8)
+// peerResponseBuckets range from a response without changes, some 200 bytes, to the full server
+// list of a large fleet.
+var peerResponseBuckets = prometheus.ExponentialBuckets(256, 4, 8)
 
-// Gauge adds a value that is asked for when the metrics are read.
+// Gauge registers a gauge whose value is computed when the metrics are scraped.
 func (metrics *Metrics) Gauge(name, help string, value func() float64) {
 	metrics.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// NewMetrics registers all metrics. Belief gives the age of the declaration.
-func NewMetrics(belief *catalog.Holder) *Metrics {
+// NewMetrics creates and registers all metrics. The age of the declaration comes from
+// replica.
+func NewMetrics(replica *catalog.AtomicReplica) *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -59,8 +59,8 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_attempts_total", Help: "Events of attempts at servers by kind.",
 		}, []string{"event"}),
-		firstAnswer: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "cloverrail_proxy_first_answer_seconds", Help: "Time to the head of the answer.", Buckets: firstAnswerBuckets,
+		firstResponse: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "cloverrail_proxy_first_answer_seconds", Help: "Time to the head of the answer.", Buckets: firstResponseBuckets,
 		}, []string{"route"}),
 		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_store_reads_total", Help: "Readings of the shared store by result.",
@@ -71,10 +71,10 @@
 		connections: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_connections_total", Help: "Requests to servers by whether their connection was kept or new.",
 		}, []string{"kind"}),
-		replaced: prometheus.NewCounter(prometheus.CounterOpts{
+		replacedPlacements: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_replaced_placements_total", Help: "Placements on weights that had been replaced for longer than the grace.",
 		}),
-		limited: prometheus.NewCounter(prometheus.CounterOpts{
+		rateLimited: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_limited_total", Help: "Requests refused since their tenant asks for more than its limit.",
 		}),
 		overLimits: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -86,7 +86,7 @@
 		conflicts: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_placement_conflicts_total", Help: "Choices of servers that did not stand since other requests were placed there first.",
 		}),
-		heldOff: prometheus.NewCounter(prometheus.CounterOpts{
+		quarantined: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_held_off_total", Help: "Requests refused since servers ended while they ran them.",
 		}),
 		suspicions: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -101,13 +101,13 @@
 		unreadable: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_unreadable_entries_total", Help: "Entries of the shared store that are skipped, by reason.",
 		}, []string{"reason"}),
-		wentBack: prometheus.NewCounter(prometheus.CounterOpts{
+		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_store_went_back_total", Help: "Times that the shared store came back from an older copy.",
 		}),
-		garbled: prometheus.NewCounter(prometheus.CounterOpts{
+		malformedUpdates: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_garbled_news_total", Help: "Answers of other nodes about cached parts that could not be read.",
 		}),
-		follows: prometheus.NewCounter(prometheus.CounterOpts{
+		upstreamChanges: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_follows_total", Help: "Changes of the node that this one asks for what it believes.",
 		}),
 		storeCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -116,10 +116,10 @@
 		serverCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_server_calls_total", Help: "Calls that this node makes to servers on its own, by call.",
 		}, []string{"call"}),
-		heardBytes: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "cloverrail_proxy_heard_bytes", Help: "Size of other nodes' answers by call.", Buckets: heardBuckets,
+		peerResponseBytes: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "cloverrail_proxy_heard_bytes", Help: "Size of other nodes' answers by call.", Buckets: peerResponseBuckets,
 		}, []string{"call"}),
-		version: prometheus.NewGauge(prometheus.GaugeOpts{
+		declarationVersion: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "cloverrail_proxy_declaration_version", Help: "Version of the declaration in force.",
 		}),
 		suppressedLines: prometheus.NewCounter(prometheus.CounterOpts{
@@ -129,12 +129,12 @@
 	age := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "cloverrail_proxy_declaration_age_seconds", Help: "Time since the declaration was certainly current.",
 	}, func() float64 {
-		if known := belief.Load(); known != nil && known.Snapshot != nil {
-			return boottime.Since(known.AsOf).Seconds()
+		if current := replica.Load(); current != nil && current.Snapshot != nil {
+			return boottime.Since(current.AsOf).Seconds()
 		}
 		return -1
 	})
-	metrics.Registry.MustRegister(metrics.requests, metrics.attempts, metrics.firstAnswer, metrics.reads,
-		metrics.orders, metrics.connections, metrics.replaced, metrics.limited, metrics.overLimits, metrics.deferred, metrics.conflicts, metrics.heldOff, metrics.suspicions, metrics.cleared, metrics.notices, metrics.wentBack, metrics.unreadable, metrics.garbled, metrics.follows, metrics.storeCalls, metrics.serverCalls, metrics.heardBytes, metrics.version, metrics.suppressedLines, age)
+	metrics.Registry.MustRegister(metrics.requests, metrics.attempts, metrics.firstResponse, metrics.reads,
+		metrics.orders, metrics.connections, metrics.replacedPlacements, metrics.rateLimited, metrics.overLimits, metrics.deferred, metrics.conflicts, metrics.quarantined, metrics.suspicions, metrics.cleared, metrics.notices, metrics.storeRestores, metrics.unreadable, metrics.malformedUpdates, metrics.upstreamChanges, metrics.storeCalls, metrics.serverCalls, metrics.peerResponseBytes, metrics.declarationVersion, metrics.suppressedLines, age)
 	return metrics
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -24,35 +24,34 @@
 )
 
 const (
-	// linesPerSecond bounds the lines that concern requests; burstLines may come
-	// at once.
+	// linesPerSecond and lineBurst are the rate limit of lines about requests.
 	linesPerSecond = 200
-	burstLines     = 400
+	lineBurst      = 400
 )
 
-// Recorder writes one line for each decision that touches a request or changes
-// what the process believes, and counts it.
+// Recorder logs and counts each decision about a request and each change of the
+// process's state.
 type Recorder struct {
 	log     zerolog.Logger
 	metrics *Metrics
 	limiter *rate.Limiter
 
-	mutex      sync.Mutex
-	suppressed int
-	storeLost  bool
-	nodes      int
-	// words holds the words of servers that nobody here knows.
-	words map[string]bool
+	mutex        sync.Mutex
+	suppressed   int
+	storeFailing bool
+	nodes        int
+	// unknownHeaders holds the unknown server headers that have been logged.
+	unknownHeaders map[string]bool
 }
 
-// NewRecorder returns a recorder.
+// NewRecorder returns a recorder that writes to log and metrics.
 func NewRecorder(log zerolog.Logger, metrics *Metrics) *Recorder {
-	return &Recorder{log: log, metrics: metrics, limiter: rate.NewLimiter(linesPerSecond, burstLines), words: map[string]bool{}}
+	return &Recorder{log: log, metrics: metrics, limiter: rate.NewLimiter(linesPerSecond, lineBurst), unknownHeaders: map[string]bool{}}
 }
 
-// line returns an event for a line that concerns a request, or nil if there are
-// too many. The next line that is written tells how many were left out.
-func (recorder *Recorder) line(level zerolog.Level) *zerolog.Event {
+// limitedLine returns an event for a line about a request, or nil if the rate limit is exceeded.
+// The next line that is written carries the number of suppressed ones.
+func (recorder *Recorder) limitedLine(level zerolog.Level) *zerolog.Event {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	if !recorder.limiter.Allow() {
@@ -68,19 +67,19 @@
 	return event
 }
 
-// eventName is the name of an event's type in logs and metrics.
+// eventName returns the name of an event's type in logs and metrics.
 func eventName(event exchange.Event) string {
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", event), "exchange."))
 }
 
-// Placed hears of each placement with what decided it.
-func (recorder *Recorder) Placed(request *proxy.Request, choice proxy.Choice) {
+// Placed records a placement and the terms that decided it.
+func (recorder *Recorder) Placed(request *proxy.Request, choice proxy.PlacementDecision) {
 	chosen := choice.Chosen
 	if chosen.ReplacedLoss > 0 {
-		recorder.metrics.replaced.Inc()
+		recorder.metrics.replacedPlacements.Inc()
 	}
-	line := recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("server", chosen.Endpoint).
-		Int("distance", chosen.Distance).Int("in_flight", chosen.InFlight).Float64("failures", chosen.FailureShare)
+	line := recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("server", chosen.Endpoint).
+		Int("distance", chosen.Distance).Int("in_flight", chosen.InFlight).Float64("failures", chosen.FailureRate)
 	if prompt := request.Prompt; prompt != nil {
 		line.Int64("version", chosen.Version).Int("prompt", prompt.Tokens).Int("held", chosen.HitBlocks).
 			Int("in_store", chosen.ImportBlocks).Int("queued", chosen.QueuedTokens).Int("rank", chosen.AffinityRank)
@@ -89,167 +88,168 @@
 		recorder.metrics.deferred.Inc()
 		line.Bool("deferred", true)
 	}
-	if choice.PassedOver > 0 {
-		line.Int("passed_over", choice.PassedOver)
+	if choice.OverLimit > 0 {
+		line.Int("passed_over", choice.OverLimit)
 	}
-	if choice.Looks > 1 {
-		recorder.metrics.conflicts.Add(float64(choice.Looks - 1))
-		line.Int("looks", choice.Looks)
+	if choice.Rounds > 1 {
+		recorder.metrics.conflicts.Add(float64(choice.Rounds - 1))
+		line.Int("looks", choice.Rounds)
 	}
 	if choice.LastResort {
 		line.Bool("last_resort", true)
 	}
-	line.Dict("costs", costs(choice.Terms))
+	line.Dict("costs", costDict(choice.Terms))
 	if choice.Next != "" {
-		line.Str("next", choice.Next).Dict("next_costs", costs(choice.NextTerms))
+		line.Str("next", choice.Next).Dict("next_costs", costDict(choice.NextTerms))
 	}
 	line.Msg("placed")
 }
 
-// Limited hears of a request beyond its tenant's limit.
-func (recorder *Recorder) Limited(request *proxy.Request, tenant string, limit quota.Limit, decision quota.Decision) {
-	recorder.metrics.limited.Inc()
-	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("tenant", tenant).Float64("limit", limit.PerSecond).
-		Float64("asked", math.Round(decision.Asked)).Float64("level", math.Round(decision.Level)).
-		Float64("share", decision.Share).Int("nodes", decision.Nodes).Dur("age", decision.Age).
+// RateLimited records a request that exceeds its tenant's limit.
+func (recorder *Recorder) RateLimited(request *proxy.Request, tenant string, limit quota.Limit, decision quota.Decision) {
+	recorder.metrics.rateLimited.Inc()
+	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("tenant", tenant).Float64("limit", limit.PerSecond).
+		Float64("asked", math.Round(decision.Requested)).Float64("level", math.Round(decision.Level)).
+		Float64("share", decision.AdmitRatio).Int("nodes", decision.VisibleNodes).Dur("age", decision.PeersAge).
 		Dur("retry_after", decision.RetryAfter).Msg("limited")
 }
 
-// OverLimits hears of a request that no server takes for the limits that they name.
+// OverLimits records a request that no server accepts because of their advertised rate limits.
 func (recorder *Recorder) OverLimits(request *proxy.Request, over proxy.OverLimits) {
 	recorder.metrics.overLimits.WithLabelValues(over.Service).Inc()
-	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("service", over.Service).Int("servers", over.Servers).
+	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("service", over.Service).Int("servers", over.Servers).
 		Dur("shortest", over.Shortest).Dur("retry_after", over.RetryAfter).Msg("over the limits of servers")
 }
 
-// HeldOff hears of a request that is refused for the servers that ended under it.
-func (recorder *Recorder) HeldOff(request *proxy.Request, fingerprint quarantine.Fingerprint, verdict quarantine.Verdict) {
-	recorder.metrics.heldOff.Inc()
-	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Int("ended", verdict.Ends).
-		Float64("weight", verdict.Weight).Bool("company", verdict.Company).Bool("stored", verdict.Stored).Dur("retry_after", boottime.Until(verdict.Until)).Msg("held off")
+// RequestQuarantined records a request that is rejected because servers crashed while running it.
+func (recorder *Recorder) RequestQuarantined(request *proxy.Request, fingerprint quarantine.Fingerprint, verdict quarantine.Verdict) {
+	recorder.metrics.quarantined.Inc()
+	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Int("ended", verdict.Crashes).
+		Float64("weight", verdict.Weight).Bool("company", verdict.Ambiguous).Bool("stored", verdict.Stored).Dur("retry_after", boottime.Until(verdict.Until)).Msg("held off")
 }
 
-// Settled hears whether a server ended under a request.
-func (recorder *Recorder) Settled(suspicion proxy.Suspicion) {
+// SuspicionResolved records whether a server crashed while running a request.
+func (recorder *Recorder) SuspicionResolved(suspicion proxy.Suspicion) {
 	outcome := "lives"
 	if suspicion.Ended {
 		outcome = "ended"
 	}
 	recorder.metrics.suspicions.WithLabelValues(outcome).Inc()
-	recorder.line(zerolog.InfoLevel).Stringer("fingerprint", suspicion.Fingerprint).Str("server", suspicion.Server).
+	recorder.limitedLine(zerolog.InfoLevel).Stringer("fingerprint", suspicion.Fingerprint).Str("server", suspicion.Server).
 		Str("settled", outcome).Dur("after", suspicion.After).Msg("suspicion")
 }
 
-// Cleared hears of a request that was suspected and has had a whole answer.
-func (recorder *Recorder) Cleared(request *proxy.Request, fingerprint quarantine.Fingerprint) {
+// SuspicionCleared records that a suspected request got a complete response.
+func (recorder *Recorder) SuspicionCleared(request *proxy.Request, fingerprint quarantine.Fingerprint) {
 	recorder.metrics.cleared.Inc()
-	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Msg("cleared")
+	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Msg("cleared")
 }
 
-// Kept hears of what is written of requests that are held off into the shared store.
-func (recorder *Recorder) Kept(fingerprint quarantine.Fingerprint, held bool, err error) {
+// QuarantinePersisted records a write of a request's quarantine state to the shared store.
+func (recorder *Recorder) QuarantinePersisted(fingerprint quarantine.Fingerprint, held bool, err error) {
 	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("the store is told of a request that is held off")
 }
 
-// Noticed hears what a server says of itself beside an answer, what of it is news, and what
-// cannot be read.
-func (recorder *Recorder) Noticed(server string, notice, news backend.Notice, unreadable error) {
-	if unreadable != nil {
+// NoticeReceived records the server state reported in response headers: all of it, what has
+// changed, and the error of a malformed header.
+func (recorder *Recorder) NoticeReceived(server string, notice, changed backend.Notice, parseError error) {
+	if parseError != nil {
 		recorder.metrics.notices.WithLabelValues("unreadable").Inc()
-		recorder.line(zerolog.WarnLevel).Str("server", server).Err(unreadable).Msg("a server's word of itself is passed over")
+		recorder.limitedLine(zerolog.WarnLevel).Str("server", server).Err(parseError).Msg("a server's word of itself is passed over")
 	}
 	if notice.Leaving {
 		recorder.metrics.notices.WithLabelValues("leaving").Inc()
 	}
-	if news.Leaving {
-		recorder.line(zerolog.InfoLevel).Str("server", server).Msg("a server says that it leaves")
+	if changed.Leaving {
+		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("a server says that it leaves")
 	}
-	if notice.Unknown != "" {
-		recorder.unknown(server, notice.Unknown)
+	if notice.UnknownHeader != "" {
+		recorder.unknownHeader(server, notice.UnknownHeader)
 	}
-	if notice.Limited {
+	if notice.HasRateLimit {
 		recorder.metrics.notices.WithLabelValues("limit").Inc()
 	}
-	if notice.Rest > 0 {
+	if notice.RetryAfter > 0 {
 		recorder.metrics.notices.WithLabelValues("rest").Inc()
-		recorder.line(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.Rest).Dur("rest", news.Rest).Msg("a server asks for rest")
+		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.RetryAfter).Dur("rest", changed.RetryAfter).Msg("a server asks for rest")
 	}
 }
 
-// mostWords bounds the words that nobody here knows of which there is a line, each once.
-const mostWords = 32
+// maxUnknownHeaders bounds the unknown server headers that are logged, once each.
+const maxUnknownHeaders = 32
 
-// unknown tells once of a word of servers that nobody here knows.
-func (recorder *Recorder) unknown(server, word string) {
+// unknownHeader counts an unknown server header, and logs it the first time.
+func (recorder *Recorder) unknownHeader(server, header string) {
 	recorder.metrics.notices.WithLabelValues("unknown").Inc()
 	recorder.mutex.Lock()
-	told := recorder.words[word] || len(recorder.words) >= mostWords
-	if !told {
-		recorder.words[word] = true
+	logged := recorder.unknownHeaders[header] || len(recorder.unknownHeaders) >= maxUnknownHeaders
+	if !logged {
+		recorder.unknownHeaders[header] = true
 	}
 	recorder.mutex.Unlock()
-	if !told {
-		recorder.log.Warn().Str("server", server).Str("word", word).Msg("servers say a word of themselves that this build does not know")
+	if !logged {
+		recorder.log.Warn().Str("server", server).Str("word", header).Msg("servers say a word of themselves that this build does not know")
 	}
 }
 
-// Called hears of each call that this node makes to servers on its own.
-func (recorder *Recorder) Called(call string) {
+// OwnCall records one of this node's own calls to a server.
+func (recorder *Recorder) OwnCall(call string) {
 	recorder.metrics.serverCalls.WithLabelValues(call).Inc()
 }
 
-// LimitNamed hears how many requests a second a server takes of all nodes, if that is news.
-func (recorder *Recorder) LimitNamed(server string, perSecond float64) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("a server names how much it takes")
+// RateLimitAdvertised records a new or changed rate limit of a server. The limit, in requests per
+// second, applies to all nodes together.
+func (recorder *Recorder) RateLimitAdvertised(server string, perSecond float64) {
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("a server names how much it takes")
 }
 
-// LimitEnded hears that a server names no limit any more.
-func (recorder *Recorder) LimitEnded(server string) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("a server names no limit any more")
+// RateLimitLifted records that a server no longer advertises a rate limit.
+func (recorder *Recorder) RateLimitLifted(server string) {
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("a server names no limit any more")
 }
 
-// ToldLimit hears what another node has heard of a server's limit.
-func (recorder *Recorder) ToldLimit(server string, told quota.Told) {
-	line := recorder.line(zerolog.InfoLevel).Str("server", server)
-	if told.Ended {
+// PeerRateLimit records a server's rate limit as reported by another node.
+func (recorder *Recorder) PeerRateLimit(server string, change quota.LimitChange) {
+	line := recorder.limitedLine(zerolog.InfoLevel).Str("server", server)
+	if change.Lifted {
 		line.Msg("another node says that a server names no limit any more")
 		return
 	}
-	line.Float64("limit", told.PerSecond).Msg("another node says how much a server takes")
+	line.Float64("limit", change.PerSecond).Msg("another node says how much a server takes")
 }
 
-// ToldLeaving hears of a server that has said to another node that it leaves.
-func (recorder *Recorder) ToldLeaving(server string) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("another node says that a server leaves")
+// PeerDraining records a draining server as reported by another node.
+func (recorder *Recorder) PeerDraining(server string) {
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("another node says that a server leaves")
 }
 
-// costs writes the terms of a cost in milliseconds of engine time.
-func costs(terms []routing.Term) *zerolog.Event {
-	all := zerolog.Dict()
+// costDict returns the terms of a cost in milliseconds of engine time.
+func costDict(terms []routing.Term) *zerolog.Event {
+	dict := zerolog.Dict()
 	for _, term := range terms {
-		all.Int64(term.Name, int64(math.Round(term.Seconds*1000)))
+		dict.Int64(term.Name, int64(math.Round(term.Seconds*1000)))
 	}
-	return all
+	return dict
 }
 
-// Connected hears for each request to a server whether its connection was kept.
-func (recorder *Recorder) Connected(kept bool) {
+// ConnectionUsed records whether a request to a server reused a connection.
+func (recorder *Recorder) ConnectionUsed(reused bool) {
 	kind := "new"
-	if kept {
+	if reused {
 		kind = "kept"
 	}
 	recorder.metrics.connections.WithLabelValues(kind).Inc()
 }
 
-// Attempt hears of each event of an attempt. Those of the ordinary course are
-// told by the request's last line alone.
+// Attempt records an event of an attempt. Events of the normal course are not logged; the
+// request's final line covers them.
 func (recorder *Recorder) Attempt(request *proxy.Request, server string, event exchange.Event, fingerprint quarantine.Fingerprint) {
 	reason := ""
 	switch event := event.(type) {
 	case exchange.Arrived, exchange.Opened, exchange.Ended:
 		return
 	case exchange.Placed, exchange.Unplaced:
-		// A placement has its own line; the want of one is told at the end.
+		// A placement has its own line; a failed one is logged at the end of the request.
 		recorder.metrics.attempts.WithLabelValues(eventName(event)).Inc()
 		return
 	case exchange.Answered:
@@ -266,47 +266,47 @@
 	}
 	name := eventName(event)
 	recorder.metrics.attempts.WithLabelValues(name).Inc()
-	line := recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("server", server).Str("event", name).Str("reason", reason)
+	line := recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("server", server).Str("event", name).Str("reason", reason)
 	if fingerprint != 0 {
 		line.Stringer("fingerprint", fingerprint)
 	}
 	line.Dur("after", boottime.Since(request.Arrived)).Msg("attempt")
 }
 
-// Request hears of the end of a request.
+// Request records the end of a request.
 func (recorder *Recorder) Request(request *proxy.Request, route *catalog.Route, version int64, outcome exchange.Outcome) {
 	name, result := "", "answered"
 	if route != nil {
 		name = route.Name
 	}
-	line := recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("route", name).Int64("declaration", version)
+	line := recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("route", name).Int64("declaration", version)
 	if outcome.Failure != nil {
 		result = string(outcome.Failure.Kind)
 		line.Str("problem", outcome.Failure.Problem).Str("outcome", string(outcome.Failure.Outcome))
 	}
 	recorder.metrics.requests.WithLabelValues(name, result).Inc()
-	if outcome.FirstAfter > 0 {
-		recorder.metrics.firstAnswer.WithLabelValues(name).Observe(outcome.FirstAfter.Seconds())
+	if outcome.TimeToHead > 0 {
+		recorder.metrics.firstResponse.WithLabelValues(name).Observe(outcome.TimeToHead.Seconds())
 	}
 	line.Str("result", result).Int("status", outcome.Status).Int("sends", outcome.Sends).Int("runs", outcome.Runs).
-		Dur("first", outcome.FirstAfter).Dur("took", boottime.Since(request.Arrived)).Msg("request")
+		Dur("first", outcome.TimeToHead).Dur("took", boottime.Since(request.Arrived)).Msg("request")
 }
 
-// StoreCalled hears of each call of the shared store.
-func (recorder *Recorder) StoreCalled(purpose, call string) {
+// StoreCall records a call to the shared store.
+func (recorder *Recorder) StoreCall(purpose, call string) {
 	recorder.metrics.storeCalls.WithLabelValues(purpose, call).Inc()
 }
 
-// Read hears of each reading of the shared store.
-func (recorder *Recorder) Read(took time.Duration, err error) {
+// ReadDone records a read of the shared store. It logs only the start and the end of an outage.
+func (recorder *Recorder) ReadDone(took time.Duration, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
 	}
 	recorder.metrics.reads.WithLabelValues(result).Inc()
 	recorder.mutex.Lock()
-	changed := recorder.storeLost != (err != nil)
-	recorder.storeLost = err != nil
+	changed := recorder.storeFailing != (err != nil)
+	recorder.storeFailing = err != nil
 	recorder.mutex.Unlock()
 	switch {
 	case changed && err != nil:
@@ -316,21 +316,21 @@
 	}
 }
 
-// Heard hears of the size of another node's answer to a call.
-func (recorder *Recorder) Heard(call string, bytes int) {
-	recorder.metrics.heardBytes.WithLabelValues(call).Observe(float64(bytes))
+// OnResponse records the size of another node's response to a call.
+func (recorder *Recorder) OnResponse(call string, bytes int) {
+	recorder.metrics.peerResponseBytes.WithLabelValues(call).Observe(float64(bytes))
 }
 
-// Follows hears which node this one asks, and why it left the one before.
-func (recorder *Recorder) Follows(node string, left error) {
-	recorder.metrics.follows.Inc()
+// UpstreamChanged records which node this one polls, and why it left the previous one.
+func (recorder *Recorder) UpstreamChanged(node string, left error) {
+	recorder.metrics.upstreamChanges.Inc()
 	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("another node is followed")
 }
 
-// Declared hears of a change of the belief.
-func (recorder *Recorder) Declared(before, after *catalog.Belief) {
+// ConfigurationChanged records a change of the node's replica of the declaration.
+func (recorder *Recorder) ConfigurationChanged(before, after *catalog.Replica) {
 	if after.Snapshot != nil && (before == nil || before.Snapshot != after.Snapshot) {
-		recorder.metrics.version.Set(float64(after.Snapshot.Version))
+		recorder.metrics.declarationVersion.Set(float64(after.Snapshot.Version))
 		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("a declaration is in force")
 	}
 	for model, namings := range after.Weights {
@@ -341,15 +341,15 @@
 	}
 }
 
-// mostChanges is how many changes of the list of servers have a line each. Those of more,
-// such as the first list that a node hears, are told in one line by their number: at 10,000
-// servers, a line each took a node longer to write than all else at its start.
-const mostChanges = 64
+// maxChangeLines is the number of changes to the server list up to which each is logged by itself.
+// More, such as the first list that a node receives, are summarized in one line: at 10,000
+// servers, one line each took longer to write than the rest of a node's start.
+const maxChangeLines = 64
 
-// Listed hears of changes to the list of servers.
-func (recorder *Recorder) Listed(changes []backend.Change) {
-	if len(changes) > mostChanges {
-		recorder.listedMany(changes)
+// ServersChanged records changes to the server list.
+func (recorder *Recorder) ServersChanged(changes []backend.Change) {
+	if len(changes) > maxChangeLines {
+		recorder.summarizeChanges(changes)
 		return
 	}
 	for _, change := range changes {
@@ -359,27 +359,27 @@
 	}
 }
 
-func (recorder *Recorder) listedMany(changes []backend.Change) {
-	draining, gone := 0, 0
+func (recorder *Recorder) summarizeChanges(changes []backend.Change) {
+	draining, removed := 0, 0
 	for _, change := range changes {
 		switch {
 		case change.Gone:
-			gone++
+			removed++
 		case change.Server.Draining:
 			draining++
 		}
 	}
-	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", gone).Msg("many servers changed")
+	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", removed).Msg("many servers changed")
 }
 
-// Published hears that this node has written the view of the fleet for nodes that start, or
-// that this failed.
-func (recorder *Recorder) Published(err error) {
+// ViewPublished records that this node wrote, or failed to write, the fleet view that starting
+// nodes bootstrap from.
+func (recorder *Recorder) ViewPublished(err error) {
 	recorder.log.Info().Err(err).Msg("the view of the fleet is published")
 }
 
-// Resized hears of the number of nodes in the fleet.
-func (recorder *Recorder) Resized(nodes int) {
+// FleetResized records the number of nodes in the fleet, and logs it if it has changed.
+func (recorder *Recorder) FleetResized(nodes int) {
 	recorder.mutex.Lock()
 	before := recorder.nodes
 	recorder.nodes = nodes
@@ -389,27 +389,27 @@
 	}
 }
 
-// Acquired hears that this node holds the duty of ordering.
+// Acquired records that this node has become the rollout leader.
 func (recorder *Recorder) Acquired(fence int64, settled time.Duration) {
 	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("this node orders servers to load weights")
 }
 
-// Released hears that this node holds the duty no longer.
+// Released records that this node is no longer the rollout leader.
 func (recorder *Recorder) Released(fence int64, reason string) {
 	recorder.log.Info().Int64("fence", fence).Str("reason", reason).Msg("this node orders servers no longer")
 }
 
 var orderResults = map[rollout.Result]string{
-	rollout.ResultUnknown:   "unknown",
-	rollout.ResultTaken:     "taken",
-	rollout.ResultHolds:     "holds",
-	rollout.ResultConflict:  "conflict",
-	rollout.ResultRejected:  "rejected",
-	rollout.ResultFenced:    "fenced",
-	rollout.ResultUnreached: "unreached",
+	rollout.ResultUnknown:       "unknown",
+	rollout.ResultAccepted:      "taken",
+	rollout.ResultAlreadyLoaded: "holds",
+	rollout.ResultConflict:      "conflict",
+	rollout.ResultRejected:      "rejected",
+	rollout.ResultFenced:        "fenced",
+	rollout.ResultUnreachable:   "unreached",
 }
 
-// Ordered hears of an order.
+// Ordered records an order to a server and its result.
 func (recorder *Recorder) Ordered(order rollout.Order, fence int64, result rollout.Result, err error) {
 	name := orderResults[result]
 	recorder.metrics.orders.WithLabelValues(name).Inc()
@@ -417,53 +417,53 @@
 		Int64("fence", fence).Int64("expected", order.Expected).Str("result", name).Err(err).Msg("order")
 }
 
-// Loaded hears that a server has the weights that it was ordered to load.
+// Loaded records that a server has loaded the weights that it was ordered to.
 func (recorder *Recorder) Loaded(loaded rollout.Loaded) {
 	recorder.log.Info().Str("server", loaded.Order.Server.Instance).Str("model", loaded.Order.Model).
 		Int64("version", loaded.Order.Version).Dur("took", loaded.Took).Msg("weights are loaded")
 }
 
-// Unfollowed hears that a holder of cached parts cannot be followed.
-func (recorder *Recorder) Unfollowed(holder string, err error) {
+// WatchLost records that the cache of a holder cannot be watched any more.
+func (recorder *Recorder) WatchLost(holder string, err error) {
 	recorder.log.Warn().Str("holder", holder).Err(err).Msg("cached parts cannot be followed")
 }
 
-// Followed hears that a holder of cached parts is followed.
-func (recorder *Recorder) Followed(holder string) {
+// WatchStarted records that the cache of a holder is being watched.
+func (recorder *Recorder) WatchStarted(holder string) {
 	recorder.log.Info().Str("holder", holder).Msg("cached parts are followed")
 }
 
-// Garbled hears of news of cached parts that cannot be read.
-func (recorder *Recorder) Garbled(node string, err error) {
-	recorder.metrics.garbled.Inc()
+// CacheUpdatesRejected records malformed cache updates from another node.
+func (recorder *Recorder) CacheUpdatesRejected(node string, err error) {
+	recorder.metrics.malformedUpdates.Inc()
 	recorder.log.Warn().Str("from", node).Err(err).Msg("news of cached parts are dropped")
 }
 
-// WentBack hears that the shared store has come back from an older copy.
-func (recorder *Recorder) WentBack(before, after int64) {
-	recorder.metrics.wentBack.Inc()
+// StoreRestored records that the shared store was restored from an older copy.
+func (recorder *Recorder) StoreRestored(before, after int64) {
+	recorder.metrics.storeRestores.Inc()
 	recorder.log.Warn().Int64("before", before).Int64("era", after).Msg("the store has gone back")
 }
 
-// EraIgnored hears of what an answer of the store, or a node, tells of its era and is passed over.
-func (recorder *Recorder) EraIgnored(told string, current int64) {
-	recorder.line(zerolog.WarnLevel).Str("told", told).Int64("era", current).Msg("an era of the store is passed over")
+// EraIgnored records an invalid or outdated store era in a response of the store or of a node.
+func (recorder *Recorder) EraIgnored(value string, current int64) {
+	recorder.limitedLine(zerolog.WarnLevel).Str("told", value).Int64("era", current).Msg("an era of the store is passed over")
 }
 
-// Unreadable hears of an entry of the store that is skipped.
-func (recorder *Recorder) Unreadable(key string, at coordination.Position, err error) {
-	recorder.metrics.unreadable.WithLabelValues(reasonOf(err)).Inc()
-	recorder.line(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("an entry cannot be read and is skipped")
+// EntryUnreadable records a store entry that was skipped.
+func (recorder *Recorder) EntryUnreadable(key string, at coordination.Position, err error) {
+	recorder.metrics.unreadable.WithLabelValues(metricReason(err)).Inc()
+	recorder.limitedLine(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("an entry cannot be read and is skipped")
 }
 
-// reasoned is an error that names a reason for metrics.
-type reasoned interface{ Kind() string }
+// reasonedError is an error with a reason for metrics.
+type reasonedError interface{ Kind() string }
 
-// reasonOf returns a short word for why an entry cannot be read.
-func reasonOf(err error) string {
-	var known reasoned
-	if errors.As(err, &known) {
-		return known.Kind()
+// metricReason returns the metrics label for why an entry cannot be read.
+func metricReason(err error) string {
+	var reasoned reasonedError
+	if errors.As(err, &reasoned) {
+		return reasoned.Kind()
 	}
 	return "other"
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -19,124 +19,124 @@
 	"github.com/cloverrail/cloverrail/internal/proxy"
 )
 
-var errLost = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
-// stuck is a standard output that nobody reads.
-type stuck struct{ freed chan struct{} }
+// blocked is an output whose writes block until released is closed.
+type blocked struct{ released chan struct{} }
 
-func (stuck stuck) Write(data []byte) (int, error) {
-	<-stuck.freed
+func (blocked blocked) Write(data []byte) (int, error) {
+	<-blocked.released
 	return len(data), nil
 }
 
-func TestAStuckOutputBlocksNobody(t *testing.T) {
-	output := stuck{freed: make(chan struct{})}
-	defer close(output.freed)
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
+	output := blocked{released: make(chan struct{})}
+	defer close(output.released)
 	writer := NewWriter(output)
-	for range 3 * queuedLines {
+	for range 3 * maxQueuedLines {
 		_, err := writer.Write([]byte("line\n"))
 		require.NoError(t, err)
 	}
 	require.Positive(t, writer.Dropped())
 }
 
-// page is an output that can be read while it is written.
-type page struct {
+// logBuffer is an output that is safe for concurrent use.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
-func (page *page) Write(data []byte) (int, error) {
-	page.mutex.Lock()
-	defer page.mutex.Unlock()
-	return page.text.Write(data)
+func (logBuffer *logBuffer) Write(data []byte) (int, error) {
+	logBuffer.mutex.Lock()
+	defer logBuffer.mutex.Unlock()
+	return logBuffer.text.Write(data)
 }
 
-func (page *page) lines() []string {
-	page.mutex.Lock()
-	defer page.mutex.Unlock()
-	return strings.Split(strings.TrimSpace(page.text.String()), "\n")
+func (logBuffer *logBuffer) lines() []string {
+	logBuffer.mutex.Lock()
+	defer logBuffer.mutex.Unlock()
+	return strings.Split(strings.TrimSpace(logBuffer.text.String()), "\n")
 }
 
-func TestLinesAreWrittenInTheirOrder(t *testing.T) {
-	page := &page{}
-	writer := NewWriter(page)
+func TestWriterKeepsLineOrder(t *testing.T) {
+	logBuffer := &logBuffer{}
+	writer := NewWriter(logBuffer)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		_, _ = writer.Write([]byte(line))
 	}
-	require.Eventually(t, func() bool { return len(page.lines()) == 3 }, 20*time.Second, time.Millisecond)
-	require.Equal(t, []string{"a", "b", "c"}, page.lines())
+	require.Eventually(t, func() bool { return len(logBuffer.lines()) == 3 }, 20*time.Second, time.Millisecond)
+	require.Equal(t, []string{"a", "b", "c"}, logBuffer.lines())
 }
 
-// Two tries of a request have ids of their own; what tells that they are the same stands on
-// the line of each attempt that broke.
-func TestABrokenAttemptTellsWhichTriesAreTheSameRequest(t *testing.T) {
-	page := &page{}
-	recorder := NewRecorder(zerolog.New(page), NewMetrics(&catalog.Holder{}))
+// Retries of a request have different ids; the fingerprint on the lines of broken attempts shows
+// that they are the same request.
+func TestBrokenAttemptLogsFingerprint(t *testing.T) {
+	logBuffer := &logBuffer{}
+	recorder := NewRecorder(zerolog.New(logBuffer), NewMetrics(&catalog.AtomicReplica{}))
 	for _, id := range []string{"a", "b"} {
 		recorder.Attempt(&proxy.Request{ID: id}, "i-1", exchange.Broken{Reason: "EOF"}, 0x2a)
 	}
 	recorder.Attempt(&proxy.Request{ID: "c"}, "i-1", exchange.Refused{Reason: "503"}, 0)
-	lines := page.lines()
+	lines := logBuffer.lines()
 	require.Contains(t, lines[0], `"fingerprint":"000000000000002a"`)
 	require.Contains(t, lines[1], `"fingerprint":"000000000000002a"`)
 	require.NotContains(t, lines[2], "fingerprint")
 }
 
-func TestTheLinesOfRequestsAreBoundedAndTheRestIsCounted(t *testing.T) {
-	page := &page{}
-	recorder := NewRecorder(zerolog.New(page), NewMetrics(&catalog.Holder{}))
+func TestRequestLinesAreRateLimitedAndCounted(t *testing.T) {
+	logBuffer := &logBuffer{}
+	recorder := NewRecorder(zerolog.New(logBuffer), NewMetrics(&catalog.AtomicReplica{}))
 	request := &proxy.Request{ID: "r", Key: "secret", Body: []byte("private")}
-	for range 10 * burstLines {
+	for range 10 * lineBurst {
 		recorder.Request(request, nil, 1, exchange.Outcome{})
 	}
-	// What is left out since the last line is told by the next one, and may be none just now.
-	require.Less(t, len(page.lines()), 2*burstLines)
-	left := testutil.ToFloat64(recorder.metrics.suppressedLines)
-	require.Equal(t, 10*burstLines, len(page.lines())+int(left), "each line is written or counted")
-	require.Positive(t, left)
-	require.NotContains(t, page.text.String(), "secret")
-	require.NotContains(t, page.text.String(), "private")
+	// Suppressed lines are reported by the next line that is written, which may not exist yet.
+	require.Less(t, len(logBuffer.lines()), 2*lineBurst)
+	suppressed := testutil.ToFloat64(recorder.metrics.suppressedLines)
+	require.Equal(t, 10*lineBurst, len(logBuffer.lines())+int(suppressed), "each line is written or counted")
+	require.Positive(t, suppressed)
+	require.NotContains(t, logBuffer.text.String(), "secret")
+	require.NotContains(t, logBuffer.text.String(), "private")
 }
 
-func TestALostStoreIsToldOnce(t *testing.T) {
-	page := &page{}
-	recorder := NewRecorder(zerolog.New(page), NewMetrics(&catalog.Holder{}))
+func TestStoreOutageIsLoggedOnce(t *testing.T) {
+	logBuffer := &logBuffer{}
+	recorder := NewRecorder(zerolog.New(logBuffer), NewMetrics(&catalog.AtomicReplica{}))
 	for range 5 {
-		recorder.Read(time.Second, errLost)
+		recorder.ReadDone(time.Second, errNoResponse)
 	}
-	recorder.Read(time.Second, nil)
-	recorder.Read(time.Second, nil)
-	require.Len(t, page.lines(), 2)
+	recorder.ReadDone(time.Second, nil)
+	recorder.ReadDone(time.Second, nil)
+	require.Len(t, logBuffer.lines(), 2)
 }
 
-// The first list of a large fleet takes one line, few changes one each.
-func TestTheLinesOfAListAreBounded(t *testing.T) {
+// The first server list of a large fleet is logged in one line, a few changes in one line each.
+func TestManyServerChangesAreSummarized(t *testing.T) {
 	written := &bytes.Buffer{}
-	recorder := NewRecorder(zerolog.New(written), NewMetrics(&catalog.Holder{}))
+	recorder := NewRecorder(zerolog.New(written), NewMetrics(&catalog.AtomicReplica{}))
 	changes := make([]backend.Change, 10_000)
 	changes[3].Gone, changes[4].Server.Draining = true, true
-	recorder.Listed(changes)
+	recorder.ServersChanged(changes)
 	require.JSONEq(t, `{"level":"info","changes":10000,"draining":1,"gone":1,"message":"many servers changed"}`, written.String())
 	written.Reset()
-	recorder.Listed(changes[:mostChanges])
-	require.Equal(t, mostChanges, bytes.Count(written.Bytes(), []byte("a server changed")))
+	recorder.ServersChanged(changes[:maxChangeLines])
+	require.Equal(t, maxChangeLines, bytes.Count(written.Bytes(), []byte("a server changed")))
 }
 
-// Words that nobody here knows are counted, and told once each; there is no end of lines for a
-// server that makes them up.
-func TestAWordThatNobodyKnowsIsToldOnce(t *testing.T) {
-	output := &page{}
-	metrics := NewMetrics(&catalog.Holder{})
+// Unknown headers are counted, and logged once each up to a bound, so that a server with arbitrary
+// headers cannot flood the log.
+func TestUnknownHeaderIsLoggedOnce(t *testing.T) {
+	output := &logBuffer{}
+	metrics := NewMetrics(&catalog.AtomicReplica{})
 	recorder := NewRecorder(zerolog.New(output), metrics)
 	for range 3 {
-		recorder.Noticed("i-1", backend.Notice{Unknown: "Server-Mood"}, backend.Notice{}, nil)
+		recorder.NoticeReceived("i-1", backend.Notice{UnknownHeader: "Server-Mood"}, backend.Notice{}, nil)
 	}
 	require.Len(t, output.lines(), 1)
 	require.Contains(t, output.lines()[0], "Server-Mood")
-	for i := range 3 * mostWords {
-		recorder.Noticed("i-1", backend.Notice{Unknown: fmt.Sprint("Server-Word-", i)}, backend.Notice{}, nil)
+	for i := range 3 * maxUnknownHeaders {
+		recorder.NoticeReceived("i-1", backend.Notice{UnknownHeader: fmt.Sprint("Server-Word-", i)}, backend.Notice{}, nil)
 	}
-	require.Len(t, output.lines(), mostWords)
-	require.Equal(t, float64(3+3*mostWords), testutil.ToFloat64(metrics.notices.WithLabelValues("unknown")))
+	require.Len(t, output.lines(), maxUnknownHeaders)
+	require.Equal(t, float64(3+3*maxUnknownHeaders), testutil.ToFloat64(metrics.notices.WithLabelValues("unknown")))
 }
