--- a/cmd/cloverrail-lab/demo.go
+++ b/cmd/cloverrail-lab/demo.go
@@ -18,7 +18,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/load"
 )
 
-// stepTimes of the engines of each profile.
+// stepTimes holds the minimum duration of an engine step in each profile.
 var stepTimes = map[string]time.Duration{"kuusisto": 6 * time.Millisecond, "dakar": 4 * time.Millisecond}
 
 func demoCommand() *cli.Command {
@@ -37,7 +37,7 @@
 	}
 }
 
-func exampleOf(profile string) (*configuration.Declaration, error) {
+func exampleDeclaration(profile string) (*configuration.Declaration, error) {
 	text, err := examples.Files.ReadFile(profile + ".yaml")
 	if err != nil {
 		return nil, errors.Errorf("%q is not a profile; use kuusisto or dakar", profile)
@@ -46,67 +46,68 @@
 }
 
 func startCluster(ctx context.Context, command *cli.Command, eventGap float64, lag time.Duration) (*cluster.Cluster, error) {
-	declaration, err := exampleOf(command.String("profile"))
+	declaration, err := exampleDeclaration(command.String("profile"))
 	if err != nil {
 		return nil, err
 	}
-	return startDeclared(ctx, command, declaration, eventGap, lag)
+	return startWithDeclaration(ctx, command, declaration, eventGap, lag)
 }
 
-func startDeclared(ctx context.Context, command *cli.Command, declaration *configuration.Declaration, eventGap float64, lag time.Duration) (*cluster.Cluster, error) {
+func startWithDeclaration(ctx context.Context, command *cli.Command, declaration *configuration.Declaration, eventGap float64, lag time.Duration) (*cluster.Cluster, error) {
 	var log io.Writer
 	if command.Bool("verbose") {
 		log = os.Stderr
 	}
 	return cluster.Start(ctx, cluster.Config{
-		Homes:       command.Bool("homes"),
-		Declaration: declaration, Nodes: command.Int("nodes"), EventGap: eventGap, MachineListLag: lag, Log: log,
+		PartitionIndex: command.Bool("homes"),
+		Declaration:    declaration, Nodes: command.Int("nodes"), EventLossRate: eventGap, MachineListLag: lag, Log: log,
 		StepTime: stepTimes[command.String("profile")],
 	})
 }
 
-func targetOf(started *cluster.Cluster) load.Target {
+func loadTarget(started *cluster.Cluster) load.Target {
 	declaration := started.Declaration
 	target := load.Target{Model: declaration.Models[0].Name, BlockBytes: declaration.Pools[0].BlockBytes}
 	for _, node := range started.Nodes {
-		target.Addresses = append(target.Addresses, node.Caller)
+		target.Addresses = append(target.Addresses, node.CallerAddress)
 	}
 	for _, tenant := range declaration.Tenants {
 		target.Tenants = append(target.Tenants, tenant.Name)
 	}
 	for _, route := range declaration.Services[0].Routes {
 		if !route.Repeatable {
-			target.OncePath = route.Path
+			target.AtMostOncePath = route.Path
 		}
 	}
 	return target
 }
 
 func runDemo(ctx context.Context, command *cli.Command) error {
-	begin := time.Now()
+	startedAt := time.Now()
 	started, err := startCluster(ctx, command, 0, 5*time.Second)
 	if err != nil {
 		return err
 	}
 	defer started.Stop()
 	fmt.Printf("%d nodes, %d engines and %d plain servers ready after %s\n",
-		len(started.Nodes), len(started.Engines), len(started.Servers), time.Since(begin).Round(time.Millisecond))
-	generator := load.New(targetOf(started), 1)
+		len(started.Nodes), len(started.Engines), len(started.Servers), time.Since(startedAt).Round(time.Millisecond))
+	generator := load.New(loadTarget(started), 1)
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("duration"))
 	defer cancel()
-	progress(ctx, generator, command.Int("callers"), len(started.Nodes))
+	runLoad(ctx, generator, command.Int("callers"), len(started.Nodes))
 	summary := load.Summarize(generator.History)
 	if err := summary.Print(os.Stdout); err != nil {
 		return errors.Trace(err)
 	}
-	if summary.Wrong > 0 || summary.Broken > 0 {
+	if summary.Incorrect > 0 || summary.Broken > 0 {
 		return errors.New("some answers were wrong or broken; run again with --verbose")
 	}
 	return nil
 }
 
-// wait comes back when a refusal says so.
-func wait(ctx context.Context, record load.Record) {
+// waitRetryAfter waits for the Retry-After time of a rejection. It returns at once if the record has
+// none.
+func waitRetryAfter(ctx context.Context, record load.Record) {
 	seconds, err := strconv.Atoi(record.RetryAfter)
 	if err != nil {
 		return
@@ -117,16 +118,16 @@
 	}
 }
 
-// progress keeps callers busy until the context ends, and lets open requests
-// finish.
-func progress(ctx context.Context, generator *load.Generator, callers, nodes int) {
-	kinds := []load.Kind{load.Streamed, load.Streamed, load.Whole, load.Once}
+// runLoad sends requests from concurrent callers until the context ends, and prints their number
+// every second. It waits for open requests to finish.
+func runLoad(ctx context.Context, generator *load.Generator, callers, nodes int) {
+	kinds := []load.Kind{load.Streaming, load.Streaming, load.NonStreaming, load.AtMostOnce}
 	var done sync.WaitGroup
 	for caller := range callers {
 		done.Go(func() {
-			for turn := caller; ctx.Err() == nil; turn++ {
-				record := generator.Request(context.WithoutCancel(ctx), kinds[turn%len(kinds)], turn%nodes)
-				wait(ctx, record)
+			for sequence := caller; ctx.Err() == nil; sequence++ {
+				record := generator.Request(context.WithoutCancel(ctx), kinds[sequence%len(kinds)], sequence%nodes)
+				waitRetryAfter(ctx, record)
 			}
 		})
 	}
--- a/cmd/cloverrail-lab/experiment.go
+++ b/cmd/cloverrail-lab/experiment.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func policiesOf(text string) ([]string, error) {
+func parsePolicies(text string) ([]string, error) {
 	if text == "all" {
 		return experiment.PolicyNames, nil
 	}
@@ -44,11 +44,11 @@
 }
 
 func runExperiment(_ context.Context, command *cli.Command) error {
-	profile, err := experiment.ProfileOf(command.String("profile"))
+	profile, err := experiment.FindProfile(command.String("profile"))
 	if err != nil {
 		return err
 	}
-	names, err := policiesOf(command.String("policy"))
+	names, err := parsePolicies(command.String("policy"))
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	fmt.Fprintf(columns, "%s, seed %d\trequests\thit rate\trecomputed\tover oracle\tTTFT p50\tp95\tp99 ms\tTBT p95 ms\trefused\t\n", report.Profile, report.Seed)
 	for _, policy := range report.Policies {
 		fmt.Fprintf(columns, "%s\t%d\t%.1f %%\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.1f\t%d\t\n", policy.Name, policy.Requests, 100*policy.HitRate,
-			policy.RecomputedTokens, policy.RecomputedOverOracle, policy.FirstTokenP50, policy.FirstTokenP95, policy.FirstTokenP99, policy.BetweenTokensP95, policy.Refused)
+			policy.RecomputedTokens, policy.RecomputedOverOracle, policy.FirstTokenP50, policy.FirstTokenP95, policy.FirstTokenP99, policy.InterTokenP95, policy.Refused)
 	}
 	return columns.Flush()
 }
--- a/cmd/cloverrail-lab/faults.go
+++ b/cmd/cloverrail-lab/faults.go
@@ -13,7 +13,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/faults"
 )
 
-const shownViolations = 5
+const maxShownViolations = 5
 
 func faultsCommand() *cli.Command {
 	return &cli.Command{
@@ -40,27 +40,27 @@
 	defer started.Stop()
 	fmt.Printf("seed %d, %d nodes, %d engines, %s\n", command.Uint64("seed"), len(started.Nodes), len(started.Engines), command.Duration("duration"))
 	verdicts := faults.Run(ctx, faults.Config{
-		Cluster: started, Target: targetOf(started), Seed: command.Uint64("seed"),
+		Cluster: started, Target: loadTarget(started), Seed: command.Uint64("seed"),
 		Duration: command.Duration("duration"), Callers: command.Int("callers"), Output: os.Stdout,
 	})
 	columns := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(columns, "GUARANTEE\tCHECKED\tVIOLATIONS\tVERDICT")
 	violated := false
 	for _, verdict := range verdicts {
-		word := "holds"
+		result := "holds"
 		if verdict.Checked == 0 {
-			word = "not run"
+			result = "not run"
 		}
 		if len(verdict.Violations) > 0 {
-			word, violated = "VIOLATED", true
+			result, violated = "VIOLATED", true
 		}
-		fmt.Fprintf(columns, "%s\t%d\t%d\t%s\n", verdict.Guarantee, verdict.Checked, len(verdict.Violations), word)
+		fmt.Fprintf(columns, "%s\t%d\t%d\t%s\n", verdict.Guarantee, verdict.Checked, len(verdict.Violations), result)
 	}
 	if err := columns.Flush(); err != nil {
 		return errors.Trace(err)
 	}
 	for _, verdict := range verdicts {
-		for _, violation := range verdict.Violations[:min(shownViolations, len(verdict.Violations))] {
+		for _, violation := range verdict.Violations[:min(maxShownViolations, len(verdict.Violations))] {
 			fmt.Printf("%s: %s\n", verdict.Guarantee, violation)
 		}
 	}
--- a/cmd/cloverrail-lab/soak.go
+++ b/cmd/cloverrail-lab/soak.go
@@ -42,29 +42,29 @@
 func runSoak(ctx context.Context, command *cli.Command) error {
 	folder := command.String("folder")
 	if folder == "" {
-		made, err := os.MkdirTemp("", "cloverrail-soak-")
+		dir, err := os.MkdirTemp("", "cloverrail-soak-")
 		if err != nil {
 			return errors.Annotate(err, "name a folder with --folder")
 		}
-		folder = made
+		folder = dir
 	}
-	seeds := []soak.Known{{Seed: command.Uint64("seed")}}
+	seeds := []soak.KnownSeed{{Seed: command.Uint64("seed")}}
 	if command.Bool("known") {
 		seeds = soak.KnownSeeds()
 	}
-	former := ""
+	legacy := ""
 	if commit := command.String("former"); commit != "" {
-		built, err := buildFormer(ctx, commit, folder)
+		program, err := buildLegacy(ctx, commit, folder)
 		if err != nil {
 			return err
 		}
-		former = built
+		legacy = program
 	}
 	violated := false
 	for _, seed := range seeds {
 		fmt.Printf("seed %d, %s; logs in %s\n", seed.Seed, command.Duration("duration"), folder)
 		verdicts, err := soak.Run(ctx, soak.Config{
-			Program: command.String("program"), Former: former, Seed: seed.Seed, Faults: seed.Faults, Duration: command.Duration("duration"),
+			Program: command.String("program"), LegacyProgram: legacy, Seed: seed.Seed, FaultKinds: seed.FaultKinds, Duration: command.Duration("duration"),
 			Nodes: command.Int("nodes"), Engines: command.Int("engines"), Plain: command.Int("plain"), Callers: command.Int("callers"),
 			RetryExtra: 1000, Folder: folder, Output: os.Stdout,
 		})
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// buildFormer builds the program of a commit of this repository's history, and returns its path.
-func buildFormer(ctx context.Context, commit, folder string) (string, error) {
+// buildLegacy builds the program at a commit of this repository, and returns its path.
+func buildLegacy(ctx context.Context, commit, folder string) (string, error) {
 	tree, program := filepath.Join(folder, "former"), filepath.Join(folder, "cloverrail-former")
 	for _, step := range [][]string{
 		{"git", "worktree", "add", "--detach", tree, commit},
@@ -94,19 +94,20 @@
 	return program, nil
 }
 
-// printVerdicts prints a table, and reports whether a promise was broken.
+// printVerdicts prints a table of the verdicts and the first violations of each, and reports whether
+// any guarantee was violated.
 func printVerdicts(verdicts []soak.Verdict) bool {
 	violated := false
 	columns := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(columns, "PROMISE\tCHECKED\tVIOLATIONS")
 	for _, v := range verdicts {
-		fmt.Fprintf(columns, "%s\t%d\t%d\n", v.Promise, v.Checked, len(v.Violations))
+		fmt.Fprintf(columns, "%s\t%d\t%d\n", v.Guarantee, v.Checked, len(v.Violations))
 	}
 	_ = columns.Flush()
 	for _, v := range verdicts {
-		for _, one := range v.Violations[:min(len(v.Violations), shownViolations)] {
+		for _, violation := range v.Violations[:min(len(v.Violations), maxShownViolations)] {
 			violated = true
-			fmt.Println("  " + one)
+			fmt.Println("  " + violation)
 		}
 	}
 	return violated
--- a/cmd/cloverrail-lab/standin.go
+++ b/cmd/cloverrail-lab/standin.go
@@ -36,7 +36,7 @@
 					&cli.StringFlag{Name: "weight-store", Usage: "`IP:PORT` of the weight store"},
 				},
 				Action: func(ctx context.Context, command *cli.Command) error {
-					return serve(ctx, command, engineOf(command))
+					return serve(ctx, command, newEngine(command))
 				},
 			},
 			{
@@ -75,16 +75,16 @@
 	}
 }
 
-func engineOf(command *cli.Command) http.Handler {
+func newEngine(command *cli.Command) http.Handler {
 	weights := map[string]string{}
 	for _, pair := range strings.Split(command.String("weights"), ",") {
 		model, version, _ := strings.Cut(pair, "=")
 		weights[model] = version
 	}
 	blockBytes := command.Int("block-bytes")
-	model := enginemodel.Standard(command.Duration("step"), command.Float("prefill"))
+	model := enginemodel.StandardConfig(command.Duration("step"), command.Float("prefill"))
 	model.BlockTokens = blockBytes / 4
-	return enginestub.New(enginestub.Config{Model: model, BlockBytes: blockBytes, Weights: weights, EventGap: command.Float("event-gap"), WeightStore: command.String("weight-store")})
+	return enginestub.New(enginestub.Config{Model: model, BlockBytes: blockBytes, Weights: weights, EventLossRate: command.Float("event-gap"), WeightStore: command.String("weight-store")})
 }
 
 func serve(ctx context.Context, command *cli.Command, handler http.Handler) error {
--- a/cmd/cloverrail-lab/streams.go
+++ b/cmd/cloverrail-lab/streams.go
@@ -31,36 +31,36 @@
 }
 
 const (
-	streamTries = 20
-	streamPause = time.Second
-	// openPause spreads the connections that the streams need.
-	openPause = time.Millisecond
+	streamPollAttempts = 20
+	streamPollInterval = time.Second
+	// openInterval spreads out the connection attempts of the streams.
+	openInterval = time.Millisecond
 )
 
 const streamBody = `{"model":%q,"prompt":"count %d","max_tokens":100000,"stream":true}`
 
 func runStreams(ctx context.Context, command *cli.Command) error {
 	count := command.Int("count")
-	declaration, err := exampleOf(command.String("profile"))
+	declaration, err := exampleDeclaration(command.String("profile"))
 	if err != nil {
 		return err
 	}
-	widen(declaration, count)
-	started, err := startDeclared(ctx, command, declaration, 0, time.Second)
+	raiseLimits(declaration, count)
+	started, err := startWithDeclaration(ctx, command, declaration, 0, time.Second)
 	if err != nil {
 		return err
 	}
 	defer started.Stop()
-	target := targetOf(started)
+	target := loadTarget(started)
 	before := started.Nodes[0].Process.ResidentMemory()
 	client := &http.Client{Transport: &http.Transport{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for index := range count {
 		go openStream(ctx, client, target, index)
-		time.Sleep(openPause)
+		time.Sleep(openInterval)
 	}
-	open, err := awaitStreams(started, count)
+	open, err := waitForStreams(started, count)
 	if err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// widen lifts the example's limits for the count.
-func widen(declaration *configuration.Declaration, count int) {
+// raiseLimits raises the limits of the example so that the node admits count streams at once.
+func raiseLimits(declaration *configuration.Declaration, count int) {
 	for index := range declaration.Tenants {
 		declaration.Tenants[index].Limits = configuration.Limits{RequestsPerSecond: float64(count), Burst: count, Streams: count}
 	}
@@ -94,13 +94,13 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// awaitStreams waits until the node has the streams open, and lets them run for
-// a moment.
-func awaitStreams(started *cluster.Cluster, count int) (float64, error) {
-	for range streamTries {
-		time.Sleep(streamPause)
+// waitForStreams waits until the node has count streams open, lets them run for one more
+// streamPollInterval, and returns the number of open streams.
+func waitForStreams(started *cluster.Cluster, count int) (float64, error) {
+	for range streamPollAttempts {
+		time.Sleep(streamPollInterval)
 		if open := started.Metric(0, "cloverrail_open_streams"); open >= float64(count) {
-			time.Sleep(streamPause)
+			time.Sleep(streamPollInterval)
 			return open, nil
 		}
 	}
--- a/cmd/cloverrail/attempt_timeout_test.go
+++ b/cmd/cloverrail/attempt_timeout_test.go
@@ -14,7 +14,7 @@
 // exceeds its latency target is abandoned only if another server can take the request.
 func TestSilentAttemptContinuesWithoutAlternative(t *testing.T) {
 	const pause = time.Second
-	late := func(c routeCall) standin.Manner {
+	late := func(c routeCall) standin.Handler {
 		return func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 			time.Sleep(pause)
 			succeeds(c)(server, w, r)
--- a/cmd/cloverrail/fixture_test.go
+++ b/cmd/cloverrail/fixture_test.go
@@ -44,18 +44,18 @@
 	kill func()
 	// links are the connections from the node to the store and from other nodes to it. isolated
 	// cuts the node's own calls to other nodes.
-	links    []*faultwire.Wire
+	links    []*faultwire.Forwarder
 	isolated atomic.Bool
 }
 
 // setIsolated cuts or restores the node's connections to the store and to other nodes.
 func (fixture *fixture) setIsolated(isolated bool) {
-	mode := faultwire.Sound
+	mode := faultwire.ModeForward
 	if isolated {
-		mode = faultwire.Reset
+		mode = faultwire.ModeReset
 	}
 	for _, link := range fixture.links {
-		link.Set(mode)
+		link.SetMode(mode)
 	}
 	fixture.isolated.Store(isolated)
 }
@@ -241,11 +241,11 @@
 	request.Header.Set(standin.HeaderPromptPrefix, "5c1e:800,91bd:410,e440:250")
 }
 
-func plainServer(instance string, manner standin.Manner) *standin.Server {
+func plainServer(instance string, manner standin.Handler) *standin.Server {
 	return standin.NewServer(instance, "", 0, manner)
 }
 
-func engine(instance string, manner standin.Manner) *standin.Server {
+func engine(instance string, manner standin.Handler) *standin.Server {
 	return standin.NewServer(instance, model, 1, manner)
 }
 
--- a/cmd/cloverrail/fleet_test.go
+++ b/cmd/cloverrail/fleet_test.go
@@ -30,8 +30,8 @@
 	f := &fleetFixture{t: t}
 	f.store, f.storeAddress = newStore(t)
 	for i := range machines {
-		f.startMachine(&standin.Machine{Name: fmt.Sprint("p", i), Service: "plain", Manner: standin.Answers(http.StatusOK, "done")})
-		f.startMachine(&standin.Machine{Name: fmt.Sprint("e", i), Service: "engines", Model: model, Manner: standin.Streams(3, 0)})
+		f.startMachine(&standin.Machine{Name: fmt.Sprint("p", i), Service: "plain", Handler: standin.Respond(http.StatusOK, "done")})
+		f.startMachine(&standin.Machine{Name: fmt.Sprint("e", i), Service: "engines", Model: model, Handler: standin.StreamEvents(3, 0)})
 	}
 	for range nodes {
 		f.addNode()
@@ -61,8 +61,8 @@
 }
 
 func (f *fleetFixture) startMachine(m *standin.Machine) {
-	m.Zone, m.After, m.Down = "a", 20*time.Millisecond, 400*time.Millisecond
-	m.Deadly = func(r *http.Request, body []byte) bool {
+	m.Zone, m.CrashDelay, m.Downtime = "a", 20*time.Millisecond, 400*time.Millisecond
+	m.CausesCrash = func(r *http.Request, body []byte) bool {
 		return strings.HasPrefix(string(body), crashingBody) && strings.HasSuffix(r.URL.Path, "/x") && r.Header.Get(standin.HeaderTenant) == "one"
 	}
 	require.NoError(f.t, m.Start(f.store))
--- a/cmd/cloverrail/herd_test.go
+++ b/cmd/cloverrail/herd_test.go
@@ -20,7 +20,7 @@
 )
 
 // succeedsAfterWindow responds as a healthy server does, but only after probeWindow.
-func succeedsAfterWindow(c routeCall) standin.Manner {
+func succeedsAfterWindow(c routeCall) standin.Handler {
 	return func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(probeWindow + 10*time.Millisecond)
 		succeeds(c)(server, w, r)
@@ -54,11 +54,11 @@
 			server := newInstance(c, "i-1", succeeds(c))
 			fixture := newFixture(t).serve(server)
 			for round := range 2 {
-				server.SetManner(standin.Rests("0.3"))
+				server.SetHandler(standin.RejectRetryAfter("0.3"))
 				fixture.requestUntilReached(c, server)
 				arrivals := server.Arrivals()
 				backoffStart := arrivals[len(arrivals)-1].At
-				server.SetManner(succeedsAfterWindow(c))
+				server.SetHandler(succeedsAfterWindow(c))
 				fixture.waitUntil(func() bool {
 					fixture.makeMany(c, burstSize)
 					arrivals := server.Arrivals()
@@ -83,15 +83,15 @@
 	for name, c := range map[string]routeCall{"once": nonIdempotent, "again": idempotent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			failing, healthy := newInstance(c, "i-1", standin.Dies), newInstance(c, "i-2", standin.Dies)
+			failing, healthy := newInstance(c, "i-1", standin.AbortConnection), newInstance(c, "i-2", standin.AbortConnection)
 			fixture := newFixture(t).serve(failing, healthy)
 			fixture.makeMany(c, burstSize)
-			healthy.SetManner(succeeds(c))
+			healthy.SetHandler(succeeds(c))
 			recovered := time.Now()
 			for time.Since(recovered) < time.Second {
 				fixture.makeMany(c, burstSize)
 			}
-			require.LessOrEqual(t, failing.Most(probeWindow, recovered), maxProbes, "%d in all", len(failing.Reached(recovered)))
+			require.LessOrEqual(t, failing.PeakReceived(probeWindow, recovered), maxProbes, "%d in all", len(failing.ReceivedSince(recovered)))
 		})
 	}
 }
--- a/cmd/cloverrail/limit_test.go
+++ b/cmd/cloverrail/limit_test.go
@@ -87,7 +87,7 @@
 // requireWithinLimit checks that a server got no more requests than its limit allows since a time.
 func requireWithinLimit(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
-	require.LessOrEqual(t, server.Most(limitWindow, since), maxInWindow(perSecond), "requests in %v at a limit of %v a second", limitWindow, perSecond)
+	require.LessOrEqual(t, server.PeakReceived(limitWindow, since), maxInWindow(perSecond), "requests in %v at a limit of %v a second", limitWindow, perSecond)
 }
 
 // requireLimitUsed checks that a server got at least minUtilization of its limit since a time,
@@ -95,7 +95,7 @@
 func requireLimitUsed(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
 	least := minUtilization * perSecond * time.Since(since).Seconds()
-	require.GreaterOrEqual(t, float64(len(server.Reached(since))), least, "requests since %v at a limit of %v a second", time.Since(since), perSecond)
+	require.GreaterOrEqual(t, float64(len(server.ReceivedSince(since))), least, "requests since %v at a limit of %v a second", time.Since(since), perSecond)
 }
 
 // publicRoute is a route that requires no key.
@@ -110,7 +110,7 @@
 			t.Parallel()
 			limited, other := newInstance(c, "i-1", succeeds(c)), newInstance(c, "i-2", succeeds(c))
 			fixture := newFixture(t).serve(limited, other)
-			limited.NameLimit("1")
+			limited.AdvertiseLimit("1")
 			named := time.Now()
 			counts := generateLoad(t, c, propagationTime+loadDuration, fixture)
 			require.Zero(t, counts.rejected, "the other server has room: %q", counts.reasons)
@@ -122,7 +122,7 @@
 			t.Parallel()
 			limited := plainServer("i-1", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(limited)
-			limited.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+			limited.AdvertiseLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 			named := time.Now()
 			generateLoad(t, nonIdempotent, propagationTime, fixture)
 			settled := time.Now()
@@ -136,9 +136,9 @@
 	}
 	t.Run("what fails elsewhere", func(t *testing.T) {
 		t.Parallel()
-		limited, failing := plainServer("i-1", succeeds(idempotent)), plainServer("i-2", standin.Answers(http.StatusInternalServerError, "no"))
+		limited, failing := plainServer("i-1", succeeds(idempotent)), plainServer("i-2", standin.Respond(http.StatusInternalServerError, "no"))
 		fixture := newFixture(t).serve(limited, failing)
-		limited.NameLimit("1")
+		limited.AdvertiseLimit("1")
 		named := time.Now()
 		for time.Since(named) < propagationTime+loadDuration {
 			fixture.makeMany(idempotent, 4)
@@ -148,9 +148,9 @@
 	})
 	t.Run("streams that break elsewhere", func(t *testing.T) {
 		t.Parallel()
-		limited, breaking := engine("i-1", succeeds(resumableStream)), engine("i-2", standin.Streams(3, 2))
+		limited, breaking := engine("i-1", succeeds(resumableStream)), engine("i-2", standin.StreamEvents(3, 2))
 		fixture := newFixture(t).serve(limited, breaking)
-		limited.NameLimit("1")
+		limited.AdvertiseLimit("1")
 		named := time.Now()
 		for time.Since(named) < propagationTime+loadDuration {
 			fixture.makeMany(resumableStream, 4)
@@ -164,14 +164,14 @@
 		limited, other := plainServer("i-1", succeeds(nonIdempotent)), plainServer("i-2", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(limited, other)
 		fixture.setStoreDown(true)
-		limited.NameLimit("1")
+		limited.AdvertiseLimit("1")
 		named := time.Now()
 		for time.Since(named) < propagationTime+loadDuration {
 			fixture.makeMany(publicRoute, 4)
 			time.Sleep(20 * time.Millisecond)
 		}
 		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
-		require.NotZero(t, other.Most(limitWindow, named.Add(propagationTime)), "routes without keys are served meanwhile")
+		require.NotZero(t, other.PeakReceived(limitWindow, named.Add(propagationTime)), "routes without keys are served meanwhile")
 	})
 	t.Run("it falls, rises and ends", limitChangesAreFollowed)
 	for _, absurd := range []string{"-1", "NaN", "few", "1,2", "1e300"} {
@@ -179,7 +179,7 @@
 			t.Parallel()
 			server := plainServer("i-1", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(server)
-			server.NameLimit(absurd)
+			server.AdvertiseLimit(absurd)
 			counts := generateLoad(t, nonIdempotent, 2*time.Second, fixture)
 			require.Zero(t, counts.rejected, "%q", counts.reasons)
 		})
@@ -195,8 +195,8 @@
 	defer stop()
 	limited.LoadTime = 2 * time.Second
 	fixture.process.watchHolders(ctx)
-	fixture.waitUntil(func() bool { return len(limited.Reached(time.Time{})) > 3 })
-	limited.NameLimit("1")
+	fixture.waitUntil(func() bool { return len(limited.ReceivedSince(time.Time{})) > 3 })
+	limited.AdvertiseLimit("1")
 	named := time.Now()
 	generateLoad(t, plainStream, propagationTime, fixture)
 	fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
@@ -211,19 +211,19 @@
 	t.Parallel()
 	server := plainServer("i-1", succeeds(nonIdempotent))
 	fixture := newFixture(t).serve(server)
-	server.NameLimit("20")
+	server.AdvertiseLimit("20")
 	generateLoad(t, nonIdempotent, propagationTime, fixture)
-	server.NameLimit("1")
+	server.AdvertiseLimit("1")
 	fell := time.Now()
 	generateLoad(t, nonIdempotent, propagationTime+limitWindow, fixture)
 	requireWithinLimit(t, server, 1, fell.Add(time.Second))
-	server.NameLimit("20")
+	server.AdvertiseLimit("20")
 	generateLoad(t, nonIdempotent, propagationTime, fixture)
 	rose := time.Now()
 	generateLoad(t, nonIdempotent, limitWindow, fixture)
 	requireWithinLimit(t, server, 20, rose)
 	requireLimitUsed(t, server, 20, rose)
-	server.NameLimit("")
+	server.AdvertiseLimit("")
 	fixture.waitUntil(func() bool {
 		for _, got := range fixture.makeMany(nonIdempotent, 40) {
 			if got.status != http.StatusOK {
@@ -238,8 +238,8 @@
 	t.Run("others have room", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 3)
-		limited := fleet.machines[0].Lives()[0]
-		limited.NameLimit("1.2")
+		limited := fleet.machines[0].Incarnations()[0]
+		limited.AdvertiseLimit("1.2")
 		named := time.Now()
 		counts := generateLoad(t, idempotent, propagationTime+loadDuration, fleet.nodes...)
 		require.Zero(t, counts.rejected, "%q", counts.reasons)
@@ -249,14 +249,14 @@
 		t.Parallel()
 		fleet := newFleet(t, 4, 2)
 		for _, machine := range fleet.machines {
-			machine.Lives()[0].NameLimit("3")
+			machine.Incarnations()[0].AdvertiseLimit("3")
 		}
 		named := time.Now()
 		generateLoad(t, plainStream, propagationTime, fleet.nodes...)
 		settled := time.Now()
 		generateLoad(t, plainStream, loadDuration, fleet.nodes...)
 		for _, machine := range fleet.machines {
-			if server := machine.Lives()[0]; server.Model != "" {
+			if server := machine.Incarnations()[0]; server.Model != "" {
 				requireWithinLimit(t, server, 3, named.Add(propagationTime))
 				requireLimitUsed(t, server, 3, settled)
 			}
@@ -265,8 +265,8 @@
 	t.Run("one node has all the requests", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
-		limited := fleet.machines[0].Lives()[0]
-		limited.NameLimit("4")
+		limited := fleet.machines[0].Incarnations()[0]
+		limited.AdvertiseLimit("4")
 		named := time.Now()
 		generateLoad(t, nonIdempotent, propagationTime, fleet.nodes...)
 		generateLoad(t, nonIdempotent, propagationTime, fleet.nodes[0])
@@ -278,8 +278,8 @@
 	t.Run("a node starts, one ends and one is cut off", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
-		limited := fleet.machines[0].Lives()[0]
-		limited.NameLimit("3")
+		limited := fleet.machines[0].Incarnations()[0]
+		limited.AdvertiseLimit("3")
 		named := time.Now()
 		generateLoad(t, idempotent, propagationTime, fleet.nodes...)
 		started := fleet.addNode()
--- a/cmd/cloverrail/notice_test.go
+++ b/cmd/cloverrail/notice_test.go
@@ -56,7 +56,7 @@
 }
 
 // newInstance returns a server that serves a route.
-func newInstance(c routeCall, name string, manner standin.Manner) *standin.Server {
+func newInstance(c routeCall, name string, manner standin.Handler) *standin.Server {
 	if c.prompted {
 		return engine(name, manner)
 	}
@@ -64,20 +64,20 @@
 }
 
 // succeeds returns the behavior of a healthy server for a route.
-func succeeds(c routeCall) standin.Manner {
+func succeeds(c routeCall) standin.Handler {
 	if c.prompted {
-		return standin.Streams(3, 0)
+		return standin.StreamEvents(3, 0)
 	}
-	return standin.Answers(http.StatusOK, "done")
+	return standin.Respond(http.StatusOK, "done")
 }
 
 // setStoreDown makes the store unavailable, or available again.
 func (fixture *fixture) setStoreDown(down bool) {
 	if !down {
-		fixture.store.SetHarm(nil)
+		fixture.store.SetFault(nil)
 		return
 	}
-	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Down })
+	fixture.store.SetFault(func(*http.Request) standin.Fault { return standin.FaultUnavailable })
 }
 
 // requestUntilReached sends requests on a route until a server has received one more.
@@ -111,7 +111,7 @@
 			t.Parallel()
 			draining, other := newInstance(c, "i-1", succeeds(c)), newInstance(c, "i-2", succeeds(c))
 			fixture := newFixture(t).serve(draining, other)
-			draining.Leave()
+			draining.AnnounceDraining()
 			fixture.setStoreDown(true)
 			fixture.requestUntilReached(c, draining)
 			fixture.requireNoneReached(c, draining, true)
@@ -133,23 +133,23 @@
 		t.Parallel()
 		draining := plainServer("i-1", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(draining)
-		draining.Leave()
+		draining.AnnounceDraining()
 		fixture.requestUntilReached(nonIdempotent, draining)
 		fixture.requireNoneReached(nonIdempotent, draining, false)
 	})
 	t.Run("by an answer that broke off", func(t *testing.T) {
 		t.Parallel()
-		draining, other := engine("i-1", standin.Streams(3, 1)), engine("i-2", succeeds(resumableStream))
+		draining, other := engine("i-1", standin.StreamEvents(3, 1)), engine("i-2", succeeds(resumableStream))
 		fixture := newFixture(t).serve(draining, other)
-		draining.Leave()
+		draining.AnnounceDraining()
 		fixture.requestUntilReached(resumableStream, draining)
 		fixture.requireNoneReached(resumableStream, draining, true)
 	})
 	t.Run("by a stream that still runs", func(t *testing.T) {
 		t.Parallel()
-		draining, other := engine("i-1", standin.Paced(40, 50*time.Millisecond, "token")), engine("i-2", succeeds(resumableStream))
+		draining, other := engine("i-1", standin.StreamPaced(40, 50*time.Millisecond, "token")), engine("i-2", succeeds(resumableStream))
 		fixture := newFixture(t).serve(draining, other)
-		draining.Leave()
+		draining.AnnounceDraining()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -162,9 +162,9 @@
 	})
 	t.Run("by a refusal", func(t *testing.T) {
 		t.Parallel()
-		draining, other := plainServer("i-1", standin.Sheds), plainServer("i-2", succeeds(nonIdempotent))
+		draining, other := plainServer("i-1", standin.Reject), plainServer("i-2", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(draining, other)
-		draining.Leave()
+		draining.AnnounceDraining()
 		fixture.requestUntilReached(nonIdempotent, draining)
 		fixture.requireNoneReached(nonIdempotent, draining, true)
 	})
@@ -172,7 +172,7 @@
 		t.Parallel()
 		draining, other := engine("i-1", succeeds(plainStream)), engine("i-2", succeeds(plainStream))
 		fixture := newFixture(t).serve(draining, other)
-		draining.Leave()
+		draining.AnnounceDraining()
 		known, _ := fixture.listedServer("i-1")
 		_, err := fixture.process.serverClient.Report(context.Background(), known)
 		require.NoError(t, err)
@@ -188,8 +188,8 @@
 // drainingNoticeReachesOtherNodes checks that a notice received by one node applies at all nodes.
 func drainingNoticeReachesOtherNodes(t *testing.T) {
 	fleet := newFleet(t, 3, 2)
-	draining := fleet.machines[0].Lives()[0]
-	draining.Leave()
+	draining := fleet.machines[0].Incarnations()[0]
+	draining.AnnounceDraining()
 	fleet.nodes[0].requestUntilReached(idempotent, draining)
 	time.Sleep(propagationTime)
 	for _, node := range fleet.nodes {
@@ -223,7 +223,7 @@
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			overloaded, other := newInstance(c, "i-1", standin.Rests(seconds)), newInstance(c, "i-2", succeeds(c))
+			overloaded, other := newInstance(c, "i-1", standin.RejectRetryAfter(seconds)), newInstance(c, "i-2", succeeds(c))
 			fixture := newFixture(t).serve(overloaded, other)
 			fixture.requestUntilReached(c, overloaded)
 			for began := time.Now(); time.Since(began) < rest; {
@@ -232,13 +232,13 @@
 				}
 			}
 			require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
-			overloaded.SetManner(succeeds(c))
+			overloaded.SetHandler(succeeds(c))
 			fixture.requestUntilReached(c, overloaded)
 		})
 	}
 	t.Run("what fails elsewhere is not sent there", func(t *testing.T) {
 		t.Parallel()
-		overloaded, failing := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", standin.Dies)
+		overloaded, failing := plainServer("i-1", standin.RejectRetryAfter(seconds)), plainServer("i-2", standin.AbortConnection)
 		fixture := newFixture(t).serve(overloaded, failing)
 		fixture.requestUntilReached(idempotent, overloaded)
 		for began := time.Now(); time.Since(began) < rest; {
@@ -248,7 +248,7 @@
 	})
 	t.Run("no other server is left", func(t *testing.T) {
 		t.Parallel()
-		overloaded := plainServer("i-1", standin.Rests(seconds))
+		overloaded := plainServer("i-1", standin.RejectRetryAfter(seconds))
 		fixture := newFixture(t).serve(overloaded)
 		require.Equal(t, http.StatusServiceUnavailable, fixture.make(nonIdempotent).status)
 		for began := time.Now(); time.Since(began) < rest-backoffGrace; time.Sleep(10 * time.Millisecond) {
@@ -266,7 +266,7 @@
 	})
 	t.Run("while the store is dark", func(t *testing.T) {
 		t.Parallel()
-		overloaded, other := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", succeeds(nonIdempotent))
+		overloaded, other := plainServer("i-1", standin.RejectRetryAfter(seconds)), plainServer("i-2", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(overloaded, other)
 		fixture.setStoreDown(true)
 		fixture.requestUntilReached(nonIdempotent, overloaded)
@@ -282,10 +282,10 @@
 	for _, invalid := range []string{"-1", "NaN", "soon", "", "1e300"} {
 		t.Run(fmt.Sprintf("an absurd rest %q", invalid), func(t *testing.T) {
 			t.Parallel()
-			overloaded, other := plainServer("i-1", standin.Rests(invalid)), plainServer("i-2", succeeds(nonIdempotent))
+			overloaded, other := plainServer("i-1", standin.RejectRetryAfter(invalid)), plainServer("i-2", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(overloaded, other)
 			fixture.requestUntilReached(nonIdempotent, overloaded)
-			overloaded.SetManner(succeeds(nonIdempotent))
+			overloaded.SetHandler(succeeds(nonIdempotent))
 			if invalid == "1e300" {
 				for began := time.Now(); time.Since(began) < rest; {
 					fixture.makeMany(nonIdempotent, 8)
@@ -302,14 +302,14 @@
 // and that the server is fully used again soon after.
 func backoffEndsWithoutBurst(t *testing.T) {
 	const rest = time.Second
-	overloaded := plainServer("i-1", standin.Rests("1"))
+	overloaded := plainServer("i-1", standin.RejectRetryAfter("1"))
 	fixture := newFixture(t).serve(overloaded)
 	fixture.make(nonIdempotent)
 	slow := func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		succeeds(nonIdempotent)(server, w, r)
 	}
-	overloaded.SetManner(slow)
+	overloaded.SetHandler(slow)
 	ended := time.Now().Add(rest)
 	served := 0
 	fixture.waitUntil(func() bool {
--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	server := plainServer("i-1", standin.Answers(http.StatusCreated, "done"))
+	server := plainServer("i-1", standin.Respond(http.StatusCreated, "done"))
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/once/a%2Fb/../c?x=1&y=%20", "turn", func(request *http.Request) {
 		request.Header.Set("X-Kept", "yes")
@@ -48,8 +48,8 @@
 }
 
 func TestNonIdempotentRequestRunsOnce(t *testing.T) {
-	for name, manner := range map[string]standin.Manner{
-		"dies": standin.Dies, "crosses": standin.Crosses, "unsigned": standin.Unsigned, "encodes": standin.Encodes,
+	for name, manner := range map[string]standin.Handler{
+		"dies": standin.AbortConnection, "crosses": standin.RespondToOtherRequest, "unsigned": standin.RespondUnstamped, "encodes": standin.RespondEncoded,
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := plainServer("i-1", manner), plainServer("i-2", manner)
@@ -66,12 +66,12 @@
 }
 
 func TestIdempotentRequestIsRetriedOnAnotherServer(t *testing.T) {
-	for name, manner := range map[string]standin.Manner{
-		"dies": standin.Dies, "crosses": standin.Crosses, "unsigned": standin.Unsigned, "encodes": standin.Encodes,
-		"fails": standin.Answers(http.StatusInternalServerError, "sorry"), "sheds": standin.Sheds,
+	for name, manner := range map[string]standin.Handler{
+		"dies": standin.AbortConnection, "crosses": standin.RespondToOtherRequest, "unsigned": standin.RespondUnstamped, "encodes": standin.RespondEncoded,
+		"fails": standin.Respond(http.StatusInternalServerError, "sorry"), "sheds": standin.Reject,
 	} {
 		t.Run(name, func(t *testing.T) {
-			fixture := newFixture(t).serve(plainServer("i-1", manner), plainServer("i-2", standin.Answers(http.StatusOK, "done")))
+			fixture := newFixture(t).serve(plainServer("i-1", manner), plainServer("i-2", standin.Respond(http.StatusOK, "done")))
 			for range 4 {
 				got := fixture.send(http.MethodGet, "/again/", "", nil)
 				require.Equal(t, http.StatusOK, got.status)
@@ -82,7 +82,7 @@
 }
 
 func TestRefusalByAllServersGuaranteesNotRun(t *testing.T) {
-	server := plainServer("i-1", standin.Sheds)
+	server := plainServer("i-1", standin.Reject)
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -93,7 +93,7 @@
 }
 
 func TestServerErrorIsForwarded(t *testing.T) {
-	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusInternalServerError, "sorry")))
+	fixture := newFixture(t).serve(plainServer("i-1", standin.Respond(http.StatusInternalServerError, "sorry")))
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusInternalServerError, got.status)
 	require.Equal(t, "sorry", got.body)
@@ -102,7 +102,7 @@
 
 func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	fixture := newFixture(t).serve(
-		engine("i-1", standin.Streams(6, 3)), engine("i-2", standin.Streams(6, 5)), engine("i-3", standin.Streams(6, 0)))
+		engine("i-1", standin.StreamEvents(6, 3)), engine("i-2", standin.StreamEvents(6, 5)), engine("i-3", standin.StreamEvents(6, 0)))
 	for range 5 {
 		got := fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 		require.NoError(t, got.err)
@@ -112,14 +112,14 @@
 }
 
 func TestBrokenNonResumableStreamIsAborted(t *testing.T) {
-	fixture := newFixture(t).serve(engine("i-1", standin.Streams(6, 3)), engine("i-2", standin.Streams(6, 3)))
+	fixture := newFixture(t).serve(engine("i-1", standin.StreamEvents(6, 3)), engine("i-2", standin.StreamEvents(6, 3)))
 	got := fixture.send(http.MethodPost, "/fixed/", "prompt", setPromptHeaders)
 	require.Error(t, got.err, "it must not look complete")
 	require.Equal(t, eventText(2), got.body)
 }
 
 func TestClientResumesStream(t *testing.T) {
-	server := engine("i-1", standin.Streams(4, 0))
+	server := engine("i-1", standin.StreamEvents(4, 0))
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/stream/", "prompt", func(request *http.Request) {
 		setPromptHeaders(request)
@@ -130,7 +130,7 @@
 }
 
 func TestPromptsCarryCacheSaltAndVersion(t *testing.T) {
-	server := engine("i-1", standin.Streams(1, 0))
+	server := engine("i-1", standin.StreamEvents(1, 0))
 	fixture := newFixture(t).serve(server)
 	fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 	fixture.send(http.MethodPost, "/stream/", "prompt", func(request *http.Request) {
@@ -148,7 +148,7 @@
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
+	server := plainServer("i-1", standin.Respond(http.StatusOK, "done"))
 	fixture := newFixture(t)
 	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/again/", "", nil).status, "nothing is declared yet")
 	fixture.serve(server)
@@ -182,7 +182,7 @@
 }
 
 func TestRemovedKeyIsRejected(t *testing.T) {
-	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
+	server := plainServer("i-1", standin.Respond(http.StatusOK, "done"))
 	fixture := newFixture(t).serve(server)
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status)
 	fixture.declare("another")
@@ -190,7 +190,7 @@
 }
 
 func TestTenantOverLimitIsRejectedAsNotRun(t *testing.T) {
-	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
+	server := plainServer("i-1", standin.Respond(http.StatusOK, "done"))
 	fixture := newFixture(t).serve(server)
 	limited := func(request *http.Request) { request.Header.Set("Authorization", "Bearer "+limitedKey) }
 	answered := 0
@@ -212,7 +212,7 @@
 }
 
 func TestInternalHeadersFromClientsAreDropped(t *testing.T) {
-	server := engine("i-1", standin.Streams(3, 0))
+	server := engine("i-1", standin.StreamEvents(3, 0))
 	fixture := newFixture(t).serve(server)
 	forged := standin.SystemHeaders()
 	got := fixture.send(http.MethodPost, "/stream/", "", func(request *http.Request) {
@@ -231,31 +231,31 @@
 }
 
 func TestNodeWithStaleKeysServesOnlyPublicRoutes(t *testing.T) {
-	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
-	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Mute })
+	fixture := newFixture(t).serve(plainServer("i-1", standin.Respond(http.StatusOK, "done")))
+	fixture.store.SetFault(func(*http.Request) standin.Fault { return standin.FaultNoResponse })
 	fixture.waitUntil(func() bool {
 		return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusServiceUnavailable
 	})
 	require.False(t, fixture.process.proxy.Ready(time.Now()))
 	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may exist by now")
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/open/", "", nil).status)
-	fixture.store.SetHarm(nil)
+	fixture.store.SetFault(nil)
 	fixture.waitUntil(func() bool { return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusOK })
 }
 
 func TestUnreadableEntriesAreSkipped(t *testing.T) {
-	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
+	fixture := newFixture(t).serve(plainServer("i-1", standin.Respond(http.StatusOK, "done")))
 	fixture.store.Put(standin.PrefixServers+"i-broken", "not an entry")
-	fixture.store.PutVersion("x", 7)
+	fixture.store.PutModelVersion("x", 7)
 	fixture.store.Put(standin.KeyConfiguration, "not a document")
-	fixture.addServer(plainServer("i-2", standin.Answers(http.StatusOK, "done")))
+	fixture.addServer(plainServer("i-2", standin.Respond(http.StatusOK, "done")))
 	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 2 })
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last good declaration stays")
 }
 
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
-	draining := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
-	staying := plainServer("i-2", standin.Answers(http.StatusOK, "done"))
+	draining := plainServer("i-1", standin.Respond(http.StatusOK, "done"))
+	staying := plainServer("i-2", standin.Respond(http.StatusOK, "done"))
 	fixture := newFixture(t).serve(draining, staying)
 	fixture.registerServer(draining, "127.0.0.1:9", "draining")
 	fixture.waitUntil(func() bool {
@@ -270,7 +270,7 @@
 }
 
 func TestReusedAddressIsDetectedBeforeRunning(t *testing.T) {
-	other := plainServer("i-other", standin.Answers(http.StatusOK, "wrong"))
+	other := plainServer("i-other", standin.Respond(http.StatusOK, "wrong"))
 	fixture := newFixture(t)
 	fixture.addServer(other)
 	fixture.declare(key)
@@ -287,13 +287,13 @@
 func TestNewWeightsReachEveryServer(t *testing.T) {
 	servers := []*standin.Server{}
 	for _, name := range []string{"i-1", "i-2", "i-3"} {
-		server := engine(name, standin.Streams(2, 0))
+		server := engine(name, standin.StreamEvents(2, 0))
 		server.LoadTime = 20 * time.Millisecond
 		servers = append(servers, server)
 	}
 	fixture := newFixture(t).serve(servers...)
 	for version := int64(2); version <= 3; version++ {
-		fixture.store.NameVersion(model, version)
+		fixture.store.ReleaseVersion(model, version)
 		fixture.waitUntil(func() bool {
 			got := fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 			require.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, got.status)
@@ -311,7 +311,7 @@
 }
 
 func TestRouteTimeoutEndsRequest(t *testing.T) {
-	server := plainServer("i-1", standin.Hangs)
+	server := plainServer("i-1", standin.Hang)
 	fixture := newFixture(t).serve(server)
 	got := fixture.send(http.MethodPost, "/short/", "turn", nil)
 	require.Equal(t, http.StatusGatewayTimeout, got.status, "it may have run")
@@ -336,7 +336,7 @@
 
 func TestReloadIgnoresInvalidSettings(t *testing.T) {
 	defer zerolog.SetGlobalLevel(zerolog.GlobalLevel())
-	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
+	fixture := newFixture(t).serve(plainServer("i-1", standin.Respond(http.StatusOK, "done")))
 	file := filepath.Join(t.TempDir(), "proxy.yaml")
 	text := "name: node\nzone: a\ncallerAddress: 127.0.0.1:1\nreadinessAddress: 127.0.0.1:2\npeerAddress: 127.0.0.1:3\nstoreAddress: 127.0.0.1:4\nlogLevel: "
 	require.NoError(t, os.WriteFile(file, []byte(text+"warn\n"), 0o600))
@@ -349,7 +349,7 @@
 }
 
 func TestGracefulStopAnswersOpenRequests(t *testing.T) {
-	server := plainServer("i-1", standin.Hangs)
+	server := plainServer("i-1", standin.Hang)
 	fixture := newFixture(t).serve(server)
 	answers := make(chan clientResult)
 	go func() { answers <- fixture.send(http.MethodPost, "/once/", "turn", nil) }()
@@ -363,7 +363,7 @@
 }
 
 func TestEngineCacheIsWatchedAndDroppedOnNewWeights(t *testing.T) {
-	server := engine("i-1", standin.Streams(2, 0))
+	server := engine("i-1", standin.StreamEvents(2, 0))
 	server.LoadTime = 20 * time.Millisecond
 	fixture := newFixture(t).serve(server)
 	fixture.process.watchHolders(t.Context())
@@ -375,7 +375,7 @@
 	// Uses the name of another incarnation, for which this node has sent nothing that would count.
 	held := func() int { return fixture.process.cacheLedger.CachedTokens(known.Address, "told", shared, time.Now()) }
 	fixture.waitUntil(func() bool { return held() == 800 })
-	fixture.store.NameVersion(model, 2)
+	fixture.store.ReleaseVersion(model, 2)
 	fixture.waitUntil(func() bool { return held() == 0 })
 	for _, arrival := range server.Arrivals() {
 		require.NotContains(t, arrival.Target, "/api/", "a question is no request")
--- a/cmd/cloverrail/quarantine_test.go
+++ b/cmd/cloverrail/quarantine_test.go
@@ -40,9 +40,9 @@
 // crashTimes returns the start times of the runs of a body that crashed a server.
 func (f *fleetFixture) crashTimes(body string) (begun []time.Time) {
 	for _, m := range f.machines {
-		for _, crash := range m.Ends() {
+		for _, crash := range m.Crashes() {
 			if crash.Body == body {
-				begun = append(begun, crash.Begun)
+				begun = append(begun, crash.StartedAt)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	require.LessOrEqual(f.t, len(f.crashTimes(body))-before, maxLateAttempts)
 	require.Equal(f.t, http.StatusServiceUnavailable, last.status)
-	require.Contains(f.t, last.body, string(failure.KindHeldOff))
+	require.Contains(f.t, last.body, string(failure.KindQuarantined))
 }
 
 func TestSingleNodeQuarantinesCrashingRequest(t *testing.T) {
@@ -131,7 +131,7 @@
 // Guards against a node that misses a quarantine because it was partitioned and suspended while
 // the others learned of it.
 func TestPartitionedAndSuspendedNodeLearnsQuarantine(t *testing.T) {
-	machine, restore := suspension.Begin()
+	machine, restore := suspension.Install()
 	f := newFleet(t, 3, 8)
 	t.Cleanup(restore)
 	partitioned := f.nodes[2]
@@ -152,7 +152,7 @@
 	f := newFleet(t, 3, 8)
 	for _, m := range f.machines {
 		if m.Model != "" {
-			m.Manner = standin.Paced(8, 30*time.Millisecond, "token")
+			m.Handler = standin.StreamPaced(8, 30*time.Millisecond, "token")
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -174,7 +174,7 @@
 						// Slightly longer than the Retry-After of a rejection.
 						time.Sleep(200 * time.Millisecond)
 					}
-					if strings.Contains(got.body, string(failure.KindHeldOff)) {
+					if strings.Contains(got.body, string(failure.KindQuarantined)) {
 						falselyQuarantined.Add(1)
 					}
 				}
@@ -207,7 +207,7 @@
 	f := newFleet(t, 3, 8)
 	for _, m := range f.machines {
 		if m.Model != "" {
-			m.Manner = standin.Paced(8, 100*time.Millisecond, "token")
+			m.Handler = standin.StreamPaced(8, 100*time.Millisecond, "token")
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -217,7 +217,7 @@
 		callers.Go(func() {
 			for try := caller; ctx.Err() == nil; try++ {
 				got := f.nodes[try%len(f.nodes)].send(http.MethodPost, "/fixed/x", "popular", setPromptHeaders)
-				if strings.Contains(got.body, string(failure.KindHeldOff)) {
+				if strings.Contains(got.body, string(failure.KindQuarantined)) {
 					falselyQuarantined.Add(1)
 				}
 				if got.err == nil && got.status == http.StatusOK {
@@ -240,7 +240,7 @@
 // other weights, as a sign that the requested instance is alive.
 func TestResponseOfOtherInstanceIsNotLiveness(t *testing.T) {
 	t.Parallel()
-	other := engine("i-other", standin.Streams(1, 0))
+	other := engine("i-other", standin.StreamEvents(1, 0))
 	fixture := newFixture(t).serve(other)
 	server, _ := fixture.listedServer("i-other")
 	fixture.store.Put(standin.PrefixServers+"i-gone", engine("i-gone", nil).Entry("engines", server.Address, "a", "ready"))
@@ -260,7 +260,7 @@
 			t.Parallel()
 			f := newFleet(t, 3, 8)
 			for _, m := range f.machines {
-				m.Down, m.Lag = 0, 400*time.Millisecond
+				m.Downtime, m.RegistrationLag = 0, 400*time.Millisecond
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			callers := sync.WaitGroup{}
@@ -311,9 +311,9 @@
 	breaks.Store(true)
 	manner := func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 		if body, _ := io.ReadAll(r.Body); string(body) == "turn" && breaks.Load() {
-			standin.Dies(server, w, r)
+			standin.AbortConnection(server, w, r)
 		}
-		standin.Answers(http.StatusOK, "done")(server, w, r)
+		standin.Respond(http.StatusOK, "done")(server, w, r)
 	}
 	fixture := newFixture(t).serve(plainServer("i-1", manner), plainServer("i-2", manner), plainServer("i-3", manner), plainServer("i-4", manner))
 	for range 8 {
@@ -336,14 +336,14 @@
 func TestPlannedShutdownIsNotACrash(t *testing.T) {
 	t.Parallel()
 	server := plainServer("i-1", nil)
-	fixture := newFixture(t).serve(server, plainServer("i-2", standin.Answers(http.StatusOK, "done")))
+	fixture := newFixture(t).serve(server, plainServer("i-2", standin.Respond(http.StatusOK, "done")))
 	var address string
 	for _, known := range fixture.process.serverSet.Servers(time.Now()) {
 		if known.Instance == server.Instance {
 			address = known.Address
 		}
 	}
-	server.SetManner(func(server *standin.Server, _ http.ResponseWriter, _ *http.Request) {
+	server.SetHandler(func(server *standin.Server, _ http.ResponseWriter, _ *http.Request) {
 		fixture.registerServer(server, address, "draining")
 		for fixture.process.serverSet.InService(server.Instance) {
 			time.Sleep(time.Millisecond)
--- a/cmd/cloverrail/restart_test.go
+++ b/cmd/cloverrail/restart_test.go
@@ -26,7 +26,7 @@
 }
 
 // start starts the next incarnation under the same id and address, and writes its entry.
-func (r *restartableServer) start(model string, version int64, manner standin.Manner) *standin.Server {
+func (r *restartableServer) start(model string, version int64, manner standin.Handler) *standin.Server {
 	if r.serving != nil {
 		_ = r.serving.Close()
 	}
@@ -65,7 +65,7 @@
 			first := restartable.start(served, version, succeeds(c))
 			fixture.addServer(newInstance(c, "i-2", succeeds(c)))
 			fixture.waitForServers(2)
-			first.Leave()
+			first.AnnounceDraining()
 			fixture.requestUntilReached(c, first)
 			fixture.requireNoneReached(c, first, true)
 			time.Sleep(2 * time.Millisecond)
@@ -81,11 +81,11 @@
 		restartable.start(model, 1, succeeds(plainStream))
 		fixture.waitForServers(1)
 		for version := int64(2); version < 5; version++ {
-			fixture.store.NameVersion(model, version)
+			fixture.store.ReleaseVersion(model, version)
 			fixture.waitUntil(func() bool { return restartable.server.Version() == version })
 			begun := time.Now()
 			restartable.start(model, version, succeeds(plainStream))
-			fixture.store.NameVersion(model, version+1)
+			fixture.store.ReleaseVersion(model, version+1)
 			fixture.waitUntil(func() bool { return restartable.server.Version() == version+1 })
 			require.Less(t, time.Since(begun), propagationTime, fmt.Sprint(version))
 		}
--- a/cmd/cloverrail/store_restore_test.go
+++ b/cmd/cloverrail/store_restore_test.go
@@ -58,41 +58,41 @@
 	loaded := func(version int64) func(n *fixture) bool {
 		return func(*fixture) bool {
 			for _, m := range fleet.machines {
-				if m.Model != "" && m.Lives()[0].Version() != version {
+				if m.Model != "" && m.Incarnations()[0].Version() != version {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	backup := fleet.store.Copy()
+	backup := fleet.store.TakeSnapshot()
 	writeRevisions(fleet.store)
-	fleet.store.NameVersion(model, 2)
+	fleet.store.ReleaseVersion(model, 2)
 	fleet.waitUntil(loaded(2))
 	fleet.store.Put(standin.KeyConfiguration, newDocument(3, key))
 	fleet.waitUntil(inForce(3))
 	fleet.requireKeysApplied(key, removed)
 
-	fleet.store.GoBack(backup)
+	fleet.store.Restore(backup)
 	restoredAt := time.Now()
 	for time.Since(restoredAt) < time.Second {
 		fleet.requireKeysApplied(key, removed)
 	}
 	fleet.store.Put(standin.KeyConfiguration, newDocument(3, key))
 	for _, m := range fleet.machines {
-		m.Enter()
+		m.Register()
 	}
 	leaver := fleet.machines[0]
-	fleet.store.Remove(standin.PrefixServers + leaver.Lives()[0].Instance)
-	fleet.startMachine(&standin.Machine{Name: "new", Service: "plain", Manner: standin.Answers(http.StatusOK, "done")})
+	fleet.store.Remove(standin.PrefixServers + leaver.Incarnations()[0].Instance)
+	fleet.startMachine(&standin.Machine{Name: "new", Service: "plain", Handler: standin.Respond(http.StatusOK, "done")})
 	fleet.waitUntil(func(n *fixture) bool {
-		_, gone := n.listedServer(leaver.Lives()[0].Instance)
+		_, gone := n.listedServer(leaver.Incarnations()[0].Instance)
 		_, come := n.listedServer("new-1")
 		return come && !gone
 	})
 	require.Less(t, time.Since(restoredAt), propagationTime, "all nodes follow the list again")
 	fleet.requireKeysApplied(key, removed)
-	fleet.store.NameVersion(model, 3)
+	fleet.store.ReleaseVersion(model, 3)
 	named := time.Now()
 	fleet.waitUntil(loaded(3))
 	require.Less(t, time.Since(named), propagationTime+time.Second, "orders go out again, under a token that servers take")
@@ -105,17 +105,17 @@
 }
 
 func TestResponseFromEarlierEraIsIgnored(t *testing.T) {
-	fixture := newFixture(t).serve(plainServer("i-1", standin.Answers(http.StatusOK, "done")))
-	backup := fixture.store.Copy()
-	fixture.store.GoBack(backup)
+	fixture := newFixture(t).serve(plainServer("i-1", standin.Respond(http.StatusOK, "done")))
+	backup := fixture.store.TakeSnapshot()
+	fixture.store.Restore(backup)
 	fixture.waitUntil(func() bool { return fixture.process.eras.Current() == 2 })
 	for _, era := range []string{"1", "0", "-7", "soon", "", "2.5"} {
-		fixture.store.TellEra(era)
+		fixture.store.ReportEra(era)
 		fixture.store.Put(standin.PrefixServers+fmt.Sprint("i-late", era), plainServer("x", nil).Entry("plain", "127.0.0.1:9", "a", "ready"))
 		time.Sleep(300 * time.Millisecond)
 		require.EqualValues(t, 2, fixture.process.eras.Current())
 		require.Equal(t, http.StatusOK, fixture.make(idempotent).status)
 	}
-	fixture.store.TellEra("3")
+	fixture.store.ReportEra("3")
 	fixture.waitUntil(func() bool { return fixture.process.eras.Current() == 3 })
 }
--- a/cmd/cloverrail/suspension_test.go
+++ b/cmd/cloverrail/suspension_test.go
@@ -14,7 +14,7 @@
 
 // newSuspendableFixture starts a node in front of servers, on a machine that can be suspended.
 func newSuspendableFixture(t *testing.T, servers ...*standin.Server) (*fixture, *suspension.Machine) {
-	machine, restore := suspension.Begin()
+	machine, restore := suspension.Install()
 	fixture := newFixture(t).serve(servers...)
 	// Cleanups run in reverse order: the clock is restored while the node still runs.
 	t.Cleanup(restore)
@@ -23,13 +23,13 @@
 
 // muteStore makes the store stop responding.
 func (fixture *fixture) muteStore() {
-	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Mute })
+	fixture.store.SetFault(func(*http.Request) standin.Fault { return standin.FaultNoResponse })
 }
 
 // Guards against a node that accepts a removed key after a suspension. The monotonic clock stops
 // while the machine is suspended, so the node's copy of the keys would still seem fresh.
 func TestResumedNodeRejectsKeysUntilReadAgain(t *testing.T) {
-	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
+	server := plainServer("i-1", standin.Respond(http.StatusOK, "done"))
 	fixture, machine := newSuspendableFixture(t, server)
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "turn", nil).status)
 	fixture.muteStore()
@@ -39,7 +39,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, 1, server.Runs())
 	require.False(t, fixture.process.proxy.Ready(boottime.Now()), "callers go to other nodes until it has read")
-	fixture.store.SetHarm(nil)
+	fixture.store.SetFault(nil)
 	fixture.waitUntil(func() bool { return fixture.process.proxy.Ready(boottime.Now()) })
 	require.Equal(t, http.StatusUnauthorized, fixture.send(http.MethodPost, "/once/", "turn", nil).status)
 }
@@ -50,7 +50,7 @@
 	first, second := plainServer("i-1", nil), plainServer("i-2", nil)
 	fixture, machine := newSuspendableFixture(t, first, second)
 	for _, server := range []*standin.Server{first, second} {
-		server.SetManner(func(*standin.Server, http.ResponseWriter, *http.Request) {
+		server.SetHandler(func(*standin.Server, http.ResponseWriter, *http.Request) {
 			machine.Suspend(time.Minute)
 			panic(http.ErrAbortHandler)
 		})
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -11,66 +11,68 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// machine is a machine whose time is told by its steady clock, which stands still in a
-// suspension, by the time of day, which can be set, and by the time since its start.
-type machine struct {
-	begun  time.Time
-	steady time.Duration
-	// set is by how much the time of day was set, and slept how long it was suspended.
-	set   time.Duration
-	slept time.Duration
+// fakeMachine simulates the clocks of a machine: the monotonic clock, which stops during
+// a suspension, the wall clock, which can be set, and the boot clock.
+type fakeMachine struct {
+	startedAt time.Time
+	monotonic time.Duration
+	// wallAdjustment is the sum of the changes to the wall clock, and suspended the total
+	// time of suspensions.
+	wallAdjustment time.Duration
+	suspended      time.Duration
 }
 
-func (m *machine) readings() Readings {
-	return Readings{
-		Now:  func() time.Time { return m.begun.Add(m.steady) },
-		Lead: func(_, _ time.Time) time.Duration { return m.set + m.slept },
-		Boot: func() (time.Duration, error) { return time.Hour + m.steady + m.slept, nil },
+func (m *fakeMachine) source() Source {
+	return Source{
+		Now:      func() time.Time { return m.startedAt.Add(m.monotonic) },
+		WallLead: func(_, _ time.Time) time.Duration { return m.wallAdjustment + m.suspended },
+		Boot:     func() (time.Duration, error) { return time.Hour + m.monotonic + m.suspended, nil },
 	}
 }
 
-// Whatever happens to the time of day, times differ by what has passed, suspensions
-// included, but for less than the tolerance for each of them.
-func TestTimeGoesOnInSuspensionsAndDoesNotJump(t *testing.T) {
+// TestNowCountsSuspensionsAndIgnoresWallClockSteps checks that times differ by the
+// elapsed time, including suspensions, whatever happens to the wall clock. The error
+// may be up to one tolerance per step.
+func TestNowCountsSuspensionsAndIgnoresWallClockSteps(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		m := &machine{begun: time.Now()}
-		c := New(m.readings())
-		first, passed := c.Now(), time.Duration(0)
+		m := &fakeMachine{startedAt: time.Now()}
+		c := New(m.source())
+		first, elapsed := c.Now(), time.Duration(0)
 		steps := rapid.IntRange(1, 20).Draw(t, "steps")
 		for range steps {
-			length := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "length"))
+			duration := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "length"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				m.slept += length
-				passed += length
+				m.suspended += duration
+				elapsed += duration
 			case 1:
-				m.set += length - 5*time.Second
+				m.wallAdjustment += duration - 5*time.Second
 			default:
-				m.steady += length
-				passed += length
+				m.monotonic += duration
+				elapsed += duration
 			}
-			require.InDelta(t, passed, c.Now().Sub(first), float64(time.Duration(steps)*tolerance))
+			require.InDelta(t, elapsed, c.Now().Sub(first), float64(time.Duration(steps)*tolerance))
 		}
 	})
 }
 
-func TestWithoutAReadingSuspensionsAreNotCounted(t *testing.T) {
-	m := &machine{begun: time.Now()}
-	readings := m.readings()
-	readings.Boot = func() (time.Duration, error) { return 0, errors.New("no such clock") }
-	c := New(readings)
+func TestSuspensionsAreIgnoredWithoutBootClock(t *testing.T) {
+	m := &fakeMachine{startedAt: time.Now()}
+	source := m.source()
+	source.Boot = func() (time.Duration, error) { return 0, errors.New("no such clock") }
+	c := New(source)
 	first := c.Now()
-	m.slept, m.steady = time.Minute, time.Second
+	m.suspended, m.monotonic = time.Minute, time.Second
 	require.Equal(t, time.Second, c.Now().Sub(first))
 }
 
-func TestTheMachinesOwnClockIsRead(t *testing.T) {
-	reading, err := bootReading()
+func TestSystemBootClockIsReadable(t *testing.T) {
+	reading, err := readBootClock()
 	require.NoError(t, err)
 	require.Positive(t, reading)
-	begun := Now()
-	require.GreaterOrEqual(t, Since(begun), time.Duration(0))
-	require.LessOrEqual(t, Until(begun), time.Duration(0))
+	start := Now()
+	require.GreaterOrEqual(t, Since(start), time.Duration(0))
+	require.LessOrEqual(t, Until(start), time.Duration(0))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/claim/check.go
+++ b/internal/claim/check.go
@@ -6,18 +6,18 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Check refuses keys whose minting time shows that holders cannot know about
-// them: from the future, so that a clock is wrong, or older than the window.
-func Check(config Config, now time.Time, key Key) *failure.Failure {
-	minted, ordered := key.MintedAt()
-	if !ordered {
+// CheckAge rejects a time-ordered key that holders cannot decide on: one from the
+// future, which shows that a clock is wrong, or one older than the claim window.
+func CheckAge(config Config, now time.Time, key Key) *failure.Failure {
+	created, timeOrdered := key.CreatedAt()
+	if !timeOrdered {
 		return nil
 	}
-	if minted.After(now.Add(config.ClockSkew)) {
+	if created.After(now.Add(config.ClockSkew)) {
 		return failure.New(failure.KindInvalidRequest, "the idempotency key was minted in the future",
 			"set the caller's clock, or declare a larger claims.clockSkew")
 	}
-	if now.Sub(minted) > config.Window-config.ClockSkew {
+	if now.Sub(created) > config.Window-config.ClockSkew {
 		return failure.New(failure.KindDuplicate, "the idempotency key is older than the claim window; an earlier send of it may have run",
 			"look at the outcome of the first send; mint a new key only if it did not run").WithOutcome(failure.Unknown)
 	}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -12,10 +12,10 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-var testConfig = Config{Window: 10 * time.Second, ClockSkew: 200 * time.Millisecond, RoundLimit: 500 * time.Millisecond}
+var testConfig = Config{Window: 10 * time.Second, ClockSkew: 200 * time.Millisecond, RoundTimeout: 500 * time.Millisecond}
 
-// keyMintedAt builds a time-ordered key.
-func keyMintedAt(at time.Time, salt uint64) string {
+// newTimeOrderedKey returns a UUID version 7 created at the given time.
+func newTimeOrderedKey(at time.Time, salt uint64) string {
 	var id uuid.UUID
 	milliseconds := uint64(at.UnixMilli())
 	for index := range 6 {
@@ -26,202 +26,203 @@
 	return id.String()
 }
 
-// holderNode is a process with a clock of its own.
+// holderNode is a process that runs a holder and has its own clock.
 type holderNode struct {
-	holder *Holder
-	skew   time.Duration
-	up     bool
-	cut    bool
+	holder      *Holder
+	skew        time.Duration
+	up          bool
+	partitioned bool
 }
 
-// flight is a claim or its answer under way.
-type flight struct {
-	due     time.Time
-	attempt *attempt
-	holder  int
-	answer  *Answer
+// pendingMessage is a claim or a response in transit.
+type pendingMessage struct {
+	due      time.Time
+	attempt  *attempt
+	holder   int
+	response *Response
 }
 
 type attempt struct {
-	key   Key
-	owner string
-	round *Round
-	sent  bool
-	over  bool
+	key      Key
+	owner    string
+	round    *Round
+	sent     bool
+	finished bool
 }
 
-// fleet plays holders, coordinators and the network in virtual time.
-type fleet struct {
+// simulation simulates holders, coordinators and the network in virtual time.
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	holders  []*holderNode
-	flights  []flight
+	pending  []pendingMessage
 	attempts []*attempt
 	// runs counts dispatches of each key.
 	runs map[Key]int
-	// born is when each key was first sent.
-	born map[Key]time.Time
+	// firstSentAt is when each opaque key was first sent.
+	firstSentAt map[Key]time.Time
 }
 
-func (fleet *fleet) start(index int) {
-	node := fleet.holders[index]
-	node.holder = NewHolder(testConfig, fleet.now.Add(node.skew))
+func (simulation *simulation) start(index int) {
+	node := simulation.holders[index]
+	node.holder = NewHolder(testConfig, simulation.now.Add(node.skew))
 	node.up = true
 }
 
-func (fleet *fleet) send(key Key) {
-	made := &attempt{key: key, owner: fmt.Sprintf("owner-%d", len(fleet.attempts)), round: NewRound(testConfig, fleet.now, []string{"0", "1", "2"})}
-	fleet.attempts = append(fleet.attempts, made)
-	if Check(testConfig, fleet.now, key) != nil {
-		made.over = true
+func (simulation *simulation) send(key Key) {
+	a := &attempt{key: key, owner: fmt.Sprintf("owner-%d", len(simulation.attempts)), round: NewRound(testConfig, simulation.now, []string{"0", "1", "2"})}
+	simulation.attempts = append(simulation.attempts, a)
+	if CheckAge(testConfig, simulation.now, key) != nil {
+		a.finished = true
 		return
 	}
-	for index := range fleet.holders {
-		delay := time.Duration(rapid.IntRange(0, 700).Draw(fleet.t, "delay")) * time.Millisecond
-		fleet.flights = append(fleet.flights, flight{due: fleet.now.Add(delay), attempt: made, holder: index})
+	for index := range simulation.holders {
+		delay := time.Duration(rapid.IntRange(0, 700).Draw(simulation.t, "delay")) * time.Millisecond
+		simulation.pending = append(simulation.pending, pendingMessage{due: simulation.now.Add(delay), attempt: a, holder: index})
 	}
 }
 
-// advance moves time on and delivers what is due.
-func (fleet *fleet) advance(step time.Duration) {
-	fleet.now = fleet.now.Add(step)
-	pending := fleet.flights
-	fleet.flights = nil
-	for _, item := range pending {
-		if item.due.After(fleet.now) {
-			fleet.flights = append(fleet.flights, item)
+// advance moves time forward and delivers the messages that are due.
+func (simulation *simulation) advance(step time.Duration) {
+	simulation.now = simulation.now.Add(step)
+	messages := simulation.pending
+	simulation.pending = nil
+	for _, message := range messages {
+		if message.due.After(simulation.now) {
+			simulation.pending = append(simulation.pending, message)
 			continue
 		}
-		fleet.deliver(item)
+		simulation.deliver(message)
 	}
-	for index, node := range fleet.holders {
-		if node.up && node.holder.RecoveryDue(fleet.now.Add(node.skew)) {
-			fleet.recover(index)
+	for index, node := range simulation.holders {
+		if node.up && node.holder.RecoveryDue(simulation.now.Add(node.skew)) {
+			simulation.recover(index)
 		}
 	}
 }
 
-func (fleet *fleet) deliver(item flight) {
-	node := fleet.holders[item.holder]
-	if item.answer != nil {
-		fleet.receive(item)
+func (simulation *simulation) deliver(message pendingMessage) {
+	node := simulation.holders[message.holder]
+	if message.response != nil {
+		simulation.receive(message)
 		return
 	}
-	if !node.up || node.cut {
+	if !node.up || node.partitioned {
 		return
 	}
-	answer := node.holder.Claim(fleet.now.Add(node.skew), item.attempt.key, item.attempt.owner)
-	delay := time.Duration(rapid.IntRange(0, 400).Draw(fleet.t, "answer delay")) * time.Millisecond
-	fleet.flights = append(fleet.flights, flight{due: fleet.now.Add(delay), attempt: item.attempt, holder: item.holder, answer: &answer})
+	response := node.holder.Claim(simulation.now.Add(node.skew), message.attempt.key, message.attempt.owner)
+	delay := time.Duration(rapid.IntRange(0, 400).Draw(simulation.t, "answer delay")) * time.Millisecond
+	simulation.pending = append(simulation.pending, pendingMessage{due: simulation.now.Add(delay), attempt: message.attempt, holder: message.holder, response: &response})
 }
 
-func (fleet *fleet) receive(item flight) {
-	made := item.attempt
-	decision := made.round.Receive(fleet.now, fmt.Sprint(item.holder), *item.answer)
-	if made.over || decision == Undecided {
+func (simulation *simulation) receive(message pendingMessage) {
+	a := message.attempt
+	decision := a.round.Receive(simulation.now, fmt.Sprint(message.holder), *message.response)
+	if a.finished || decision == Undecided {
 		return
 	}
-	made.over = true
+	a.finished = true
 	if decision == Won {
-		made.sent = true
-		fleet.runs[made.key]++
+		a.sent = true
+		simulation.runs[a.key]++
 		return
 	}
-	for _, node := range fleet.holders {
-		if node.up && !node.cut {
-			node.holder.Conclude(fleet.now.Add(node.skew), made.key, made.owner, Released)
+	for _, node := range simulation.holders {
+		if node.up && !node.partitioned {
+			node.holder.Conclude(simulation.now.Add(node.skew), a.key, a.owner, Released)
 		}
 	}
 }
 
-func (fleet *fleet) recover(index int) {
+func (simulation *simulation) recover(index int) {
 	records := []Record{}
-	for other, node := range fleet.holders {
+	for other, node := range simulation.holders {
 		if other == index {
 			continue
 		}
-		if !node.up || node.cut || fleet.holders[index].cut || !node.holder.Complete(fleet.now.Add(node.skew)) {
+		if !node.up || node.partitioned || simulation.holders[index].partitioned || !node.holder.Complete(simulation.now.Add(node.skew)) {
 			return
 		}
-		records = append(records, node.holder.Records(fleet.now.Add(node.skew))...)
+		records = append(records, node.holder.Records(simulation.now.Add(node.skew))...)
 	}
-	fleet.holders[index].holder.Recover(fleet.now.Add(fleet.holders[index].skew), records)
+	simulation.holders[index].holder.Recover(simulation.now.Add(simulation.holders[index].skew), records)
 }
 
-// TestAtMostOnce sends duplicates of time-ordered and opaque keys to different
-// coordinators at once and late, while holders restart one by one and as a
-// herd, are cut off, and have clocks within the stated bound.
+// TestAtMostOnce sends duplicates of time-ordered and opaque keys through
+// different coordinators, concurrently and late, while holders restart one by one
+// or all at once, are partitioned, and have clocks that differ within the bound.
 func TestAtMostOnce(t *testing.T) {
 	property.CheckMany(t, 5_000, func(t *rapid.T) {
-		fleet := &fleet{t: t, now: time.UnixMilli(1_800_000_000_000), runs: map[Key]int{}, born: map[Key]time.Time{}}
+		simulation := &simulation{t: t, now: time.UnixMilli(1_800_000_000_000), runs: map[Key]int{}, firstSentAt: map[Key]time.Time{}}
 		for range 3 {
 			skew := time.Duration(rapid.IntRange(-100, 100).Draw(t, "skew")) * time.Millisecond
-			fleet.holders = append(fleet.holders, &holderNode{skew: skew})
+			simulation.holders = append(simulation.holders, &holderNode{skew: skew})
 		}
-		for index := range fleet.holders {
-			fleet.start(index)
+		for index := range simulation.holders {
+			simulation.start(index)
 		}
 		keys := []Key{}
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"ordered", "opaque", "duplicate", "duplicate", "duplicate", "restart", "herd", "cut", "heal", "wait", "wait", "long wait"}).Draw(t, "step") {
 			case "ordered":
-				minted := fleet.now.Add(time.Duration(rapid.IntRange(-100, 100).Draw(t, "caller skew")) * time.Millisecond)
-				keys = append(keys, Key{Tenant: "t", Value: keyMintedAt(minted, uint64(len(keys)))})
-				fleet.send(keys[len(keys)-1])
+				created := simulation.now.Add(time.Duration(rapid.IntRange(-100, 100).Draw(t, "caller skew")) * time.Millisecond)
+				keys = append(keys, Key{Tenant: "t", Value: newTimeOrderedKey(created, uint64(len(keys)))})
+				simulation.send(keys[len(keys)-1])
 			case "opaque":
 				keys = append(keys, Key{Tenant: "t", Value: fmt.Sprintf("order %d", len(keys))})
-				fleet.born[keys[len(keys)-1]] = fleet.now
-				fleet.send(keys[len(keys)-1])
+				simulation.firstSentAt[keys[len(keys)-1]] = simulation.now
+				simulation.send(keys[len(keys)-1])
 			case "duplicate":
 				if len(keys) == 0 {
 					continue
 				}
 				key := rapid.SampledFrom(keys).Draw(t, "key")
-				// An opaque key is guarded for the window; a time-ordered one for ever.
-				if born, opaque := fleet.born[key]; !opaque || fleet.now.Sub(born) < testConfig.Window-3*time.Second {
-					fleet.send(key)
+				// An opaque key is protected for the window, a time-ordered one
+				// indefinitely.
+				if firstSentAt, opaque := simulation.firstSentAt[key]; !opaque || simulation.now.Sub(firstSentAt) < testConfig.Window-3*time.Second {
+					simulation.send(key)
 				}
 			case "restart":
-				fleet.start(rapid.IntRange(0, 2).Draw(t, "which"))
+				simulation.start(rapid.IntRange(0, 2).Draw(t, "which"))
 			case "herd":
-				for index := range fleet.holders {
-					fleet.start(index)
+				for index := range simulation.holders {
+					simulation.start(index)
 				}
 			case "cut":
-				fleet.holders[rapid.IntRange(0, 2).Draw(t, "which")].cut = true
+				simulation.holders[rapid.IntRange(0, 2).Draw(t, "which")].partitioned = true
 			case "heal":
-				for _, node := range fleet.holders {
-					node.cut = false
+				for _, node := range simulation.holders {
+					node.partitioned = false
 				}
 			case "wait":
-				fleet.advance(time.Duration(rapid.IntRange(1, 300).Draw(t, "wait")) * time.Millisecond)
+				simulation.advance(time.Duration(rapid.IntRange(1, 300).Draw(t, "wait")) * time.Millisecond)
 			case "long wait":
 				for range 12 {
-					fleet.advance(250 * time.Millisecond)
+					simulation.advance(250 * time.Millisecond)
 				}
 			}
 		}
 		for range 8 {
-			fleet.advance(250 * time.Millisecond)
+			simulation.advance(250 * time.Millisecond)
 		}
-		for key, count := range fleet.runs {
+		for key, count := range simulation.runs {
 			require.LessOrEqual(t, count, 1, "key %s ran more than once", key.Value)
 		}
 	})
 }
 
-func TestHerdRestartServesNewKeysAtOnce(t *testing.T) {
+func TestRestartedHolderGrantsOnlyNewTimeOrderedKeys(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	holder := NewHolder(testConfig, now)
 	later := now.Add(testConfig.ClockSkew + 10*time.Millisecond)
-	fresh := Key{Tenant: "t", Value: keyMintedAt(later, 1)}
+	fresh := Key{Tenant: "t", Value: newTimeOrderedKey(later, 1)}
 	require.Equal(t, Granted, holder.Claim(later, fresh, "owner").Verdict)
-	old := Key{Tenant: "t", Value: keyMintedAt(now.Add(-time.Second), 2)}
+	old := Key{Tenant: "t", Value: newTimeOrderedKey(now.Add(-time.Second), 2)}
 	require.Equal(t, Abstained, holder.Claim(later, old, "owner").Verdict)
 	require.Equal(t, Abstained, holder.Claim(later, Key{Tenant: "t", Value: "opaque"}, "owner").Verdict)
 }
 
-func TestLateClaimOfReleasedOwnerIsNotKept(t *testing.T) {
+func TestLateClaimOfReleasedOwnerIsRejected(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	holder := NewHolder(testConfig, now)
 	holder.Recover(now, nil)
@@ -231,34 +232,34 @@
 	require.Equal(t, Granted, holder.Claim(now, key, "second").Verdict)
 }
 
-func TestKeysOutsideTheWindowAreRefused(t *testing.T) {
+func TestKeysOutsideWindowAreRejected(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	old := Key{Tenant: "t", Value: keyMintedAt(now.Add(-testConfig.Window), 1)}
-	require.NotNil(t, Check(testConfig, now, old))
-	future := Key{Tenant: "t", Value: keyMintedAt(now.Add(time.Second), 1)}
-	require.NotNil(t, Check(testConfig, now, future))
-	require.Nil(t, Check(testConfig, now, Key{Tenant: "t", Value: "opaque"}))
+	old := Key{Tenant: "t", Value: newTimeOrderedKey(now.Add(-testConfig.Window), 1)}
+	require.NotNil(t, CheckAge(testConfig, now, old))
+	future := Key{Tenant: "t", Value: newTimeOrderedKey(now.Add(time.Second), 1)}
+	require.NotNil(t, CheckAge(testConfig, now, future))
+	require.Nil(t, CheckAge(testConfig, now, Key{Tenant: "t", Value: "opaque"}))
 }
 
-func TestLateGrantsDoNotWin(t *testing.T) {
+func TestGrantAfterRoundTimeoutDoesNotWin(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
 	round := NewRound(testConfig, start, []string{"a", "b", "c"})
-	require.Equal(t, Undecided, round.Receive(start, "a", Answer{Verdict: Granted}))
-	late := start.Add(testConfig.RoundLimit + time.Millisecond)
-	require.Equal(t, Unavailable, round.Receive(late, "b", Answer{Verdict: Granted}))
-	require.Equal(t, Unavailable, round.Receive(late, "c", Answer{Verdict: Granted}))
+	require.Equal(t, Undecided, round.Receive(start, "a", Response{Verdict: Granted}))
+	late := start.Add(testConfig.RoundTimeout + time.Millisecond)
+	require.Equal(t, Unavailable, round.Receive(late, "b", Response{Verdict: Granted}))
+	require.Equal(t, Unavailable, round.Receive(late, "c", Response{Verdict: Granted}))
 }
 
-func TestRecoveryWaitsForRoundsUnderWay(t *testing.T) {
+func TestRecoveryWaitsForRoundsInProgress(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
 	holder := NewHolder(testConfig, start)
-	require.False(t, holder.RecoveryDue(start.Add(testConfig.RoundLimit)))
-	require.True(t, holder.RecoveryDue(start.Add(2*testConfig.RoundLimit)))
+	require.False(t, holder.RecoveryDue(start.Add(testConfig.RoundTimeout)))
+	require.True(t, holder.RecoveryDue(start.Add(2*testConfig.RoundTimeout)))
 }
 
-func TestKeysMintedWithinTheSkewOfAStartAreAbstainedFrom(t *testing.T) {
+func TestHolderAbstainsFromKeysCreatedWithinClockSkewOfStart(t *testing.T) {
 	start := time.UnixMilli(1_800_000_000_000)
 	holder := NewHolder(testConfig, start)
-	key := Key{Tenant: "t", Value: keyMintedAt(start.Add(testConfig.ClockSkew/2), 1)}
+	key := Key{Tenant: "t", Value: newTimeOrderedKey(start.Add(testConfig.ClockSkew/2), 1)}
 	require.Equal(t, Abstained, holder.Claim(start.Add(testConfig.ClockSkew), key, "owner").Verdict)
 }
--- a/internal/claim/roster_test.go
+++ b/internal/claim/roster_test.go
@@ -11,29 +11,29 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// member is a node while the roster changes from nodes 0, 1, 2 to 1, 2, 3.
-type member struct {
-	holder  *Holder
-	adopted bool
-	cut     bool
+// rosterNode is a node during a roster change from nodes 0, 1, 2 to 1, 2, 3.
+type rosterNode struct {
+	holder      *Holder
+	adopted     bool
+	partitioned bool
 }
 
-// TestAtMostOnceWhileTheRosterChanges lets owners with the old and with the new
-// roster claim the same keys, while members adopt the change one by one, are cut
-// off, and restart.
-func TestAtMostOnceWhileTheRosterChanges(t *testing.T) {
+// TestAtMostOnceDuringRosterChange lets owners with the old and with the new
+// roster claim the same keys while nodes adopt the change one by one, are
+// partitioned, and restart.
+func TestAtMostOnceDuringRosterChange(t *testing.T) {
 	property.CheckMany(t, 50_000, func(t *rapid.T) {
 		now := time.UnixMilli(1_800_000_000_000)
 		old, new := []int{0, 1, 2}, []int{1, 2, 3}
-		members := []*member{}
+		nodes := []*rosterNode{}
 		for range 4 {
-			made := &member{holder: NewHolder(testConfig, now.Add(-testConfig.Window))}
-			members = append(members, made)
+			node := &rosterNode{holder: NewHolder(testConfig, now.Add(-testConfig.Window))}
+			nodes = append(nodes, node)
 		}
 		runs := map[Key]int{}
 		keys := []Key{}
-		claimOnce := func(key Key, roster []int, isNew bool, cutOff []int) {
-			if Check(testConfig, now, key) != nil {
+		claimOnce := func(key Key, roster []int, isNew bool, unreachable []int) {
+			if CheckAge(testConfig, now, key) != nil {
 				return
 			}
 			names := []string{}
@@ -44,46 +44,46 @@
 			owner := fmt.Sprintf("owner-%d-%d", now.UnixNano(), len(runs)+rapid.IntRange(0, 1<<30).Draw(t, "owner"))
 			decision := Undecided
 			for _, index := range roster {
-				answer := Answer{Verdict: Abstained}
+				response := Response{Verdict: Abstained}
 				reachable := true
-				for _, lost := range cutOff {
-					reachable = reachable && lost != index
+				for _, excluded := range unreachable {
+					reachable = reachable && excluded != index
 				}
-				if reachable && members[index].adopted == isNew {
-					answer = members[index].holder.Claim(now, key, owner)
+				if reachable && nodes[index].adopted == isNew {
+					response = nodes[index].holder.Claim(now, key, owner)
 				}
-				decision = round.Receive(now, fmt.Sprint(index), answer)
+				decision = round.Receive(now, fmt.Sprint(index), response)
 			}
 			if decision == Won {
 				runs[key]++
 			}
 		}
 		join := func(index int) {
-			joiner := members[index]
-			if !joiner.adopted || joiner.holder.Joined() || joiner.cut {
+			joiner := nodes[index]
+			if !joiner.adopted || joiner.holder.Joined() || joiner.partitioned {
 				return
 			}
-			adopted, knowing, records := 0, 0, []Record{}
+			adopted, complete, records := 0, 0, []Record{}
 			for _, earlier := range old {
-				told := members[earlier]
-				if !told.adopted || (told.cut && earlier != index) {
+				previous := nodes[earlier]
+				if !previous.adopted || (previous.partitioned && earlier != index) {
 					continue
 				}
 				adopted++
-				if told.holder.KnowsEarlier(now) {
-					knowing++
+				if previous.holder.KnowsEarlier(now) {
+					complete++
 				}
-				records = append(records, told.holder.Records(now)...)
+				records = append(records, previous.holder.Records(now)...)
 			}
 			if adopted >= len(old)-1 {
-				joiner.holder.Join(now, records, knowing >= len(old)-1)
+				joiner.holder.Join(now, records, complete >= len(old)-1)
 			}
 		}
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
 			which := rapid.IntRange(0, 3).Draw(t, "member")
 			switch rapid.SampledFrom([]string{"key", "key", "again", "again", "again", "adopt", "adopt", "join", "join", "restart", "cut", "heal", "wait"}).Draw(t, "step") {
 			case "key":
-				keys = append(keys, Key{Tenant: "t", Value: keyMintedAt(now, uint64(len(keys)))})
+				keys = append(keys, Key{Tenant: "t", Value: newTimeOrderedKey(now, uint64(len(keys)))})
 				isNew := rapid.Bool().Draw(t, "new roster")
 				claimOnce(keys[len(keys)-1], map[bool][]int{false: old, true: new}[isNew], isNew, []int{which})
 			case "again":
@@ -93,23 +93,23 @@
 					claimOnce(key, map[bool][]int{false: old, true: new}[isNew], isNew, []int{which})
 				}
 			case "adopt":
-				if !members[which].adopted {
-					members[which].adopted = true
-					members[which].holder.ChangeRoster()
+				if !nodes[which].adopted {
+					nodes[which].adopted = true
+					nodes[which].holder.ChangeRoster()
 				}
 			case "join":
 				join(which)
 			case "restart":
-				// A process that starts has the configuration that it had before.
-				members[which].holder = NewHolder(testConfig, now)
-				if members[which].adopted {
-					members[which].holder.AwaitJoin()
+				// A restarted process keeps the configuration that it had adopted.
+				nodes[which].holder = NewHolder(testConfig, now)
+				if nodes[which].adopted {
+					nodes[which].holder.AwaitJoin()
 				}
 			case "cut":
-				members[which].cut = true
+				nodes[which].partitioned = true
 			case "heal":
-				for _, each := range members {
-					each.cut = false
+				for _, each := range nodes {
+					each.partitioned = false
 				}
 			case "wait":
 				now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "milliseconds")) * time.Millisecond)
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
-	var refusal operator.ErrorAnswer
+	var refusal operator.ErrorResponse
 	response, err := sling.New().Do(request.WithContext(ctx), &answer, &refusal)
 	if err != nil {
 		return answer, failure.New(failure.KindUnavailable, "the node gave no answer: "+err.Error(), "name another node with --node").WithOutcome(failure.Unknown)
@@ -124,7 +124,7 @@
 		Description: "Example:\n  cloverrail status --node 127.0.0.1:8082 --output json",
 		Flags:       clientFlags(),
 		Action: func(ctx context.Context, command *cli.Command) error {
-			answer, err := send[operator.StatusAnswer](ctx, command, sling.New().Get("http://"+command.String("node")+"/operator/status"))
+			answer, err := send[operator.StatusResponse](ctx, command, sling.New().Get("http://"+command.String("node")+"/operator/status"))
 			if err != nil {
 				return err
 			}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -41,7 +41,7 @@
 	path := filepath.Join(t.TempDir(), "faulty.yaml")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	_, err = run(t, "check", path)
-	var faults strictyaml.Faults
+	var faults strictyaml.Diagnostics
 	require.ErrorAs(t, err, &faults)
 	require.Len(t, faults, 3)
 	require.Equal(t, exitInvalid, exitCode(err))
--- a/internal/command/declaration.go
+++ b/internal/command/declaration.go
@@ -76,7 +76,7 @@
 			if err != nil {
 				return err
 			}
-			answer, err := post[operator.PlanAnswer](ctx, command, "plan", operator.ApplyRequest{File: filepath.Base(path), Declaration: declared})
+			answer, err := post[operator.PlanResponse](ctx, command, "plan", operator.ApplyRequest{File: filepath.Base(path), Declaration: declared})
 			if err != nil {
 				return err
 			}
@@ -110,7 +110,7 @@
 			&cli.StringFlag{Name: "settle", Usage: "decide what became of `CHANGE`"}),
 		Action: func(ctx context.Context, command *cli.Command) error {
 			if change := command.String("settle"); change != "" {
-				answer, err := post[operator.ChangeAnswer](ctx, command, "settle", operator.SettleRequest{ChangeID: change})
+				answer, err := post[operator.ChangeResponse](ctx, command, "settle", operator.SettleRequest{ChangeID: change})
 				return printChange(command, answer, err)
 			}
 			path, declared, err := parseFileArgument(command)
@@ -118,7 +118,7 @@
 				return err
 			}
 			change := uuid.NewString()
-			answer, err := post[operator.ChangeAnswer](ctx, command, "apply", operator.ApplyRequest{
+			answer, err := post[operator.ChangeResponse](ctx, command, "apply", operator.ApplyRequest{
 				ChangeID: change, File: filepath.Base(path), Declaration: declared, BaseRevision: command.Int64("base")})
 			if err != nil && failure.As(err).Outcome == failure.Unknown {
 				return failure.New(failure.KindUnknownOutcome, "it is not known whether change "+change+" took effect: "+failure.As(err).Problem,
@@ -129,7 +129,7 @@
 	}
 }
 
-func printChange(command *cli.Command, answer operator.ChangeAnswer, err error) error {
+func printChange(command *cli.Command, answer operator.ChangeResponse, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -40,7 +40,7 @@
 }
 
 func exitCode(err error) int {
-	var faults strictyaml.Faults
+	var faults strictyaml.Diagnostics
 	var refusal *failure.Failure
 	switch {
 	case errors.As(err, &faults):
--- a/internal/configstore/bench_test.go
+++ b/internal/configstore/bench_test.go
@@ -8,24 +8,24 @@
 	"github.com/cloverrail/cloverrail/internal/configuration"
 )
 
-func fullTenants(count int) *configuration.Declaration {
-	declared := &configuration.Declaration{Version: 1, Fleet: "bench"}
+func declarationWithLimits(count int) *configuration.Declaration {
+	declaration := &configuration.Declaration{Version: 1, Fleet: "bench"}
 	for index := range count {
 		name := fmt.Sprintf("tenant-%05d", index)
-		declared.Tenants = append(declared.Tenants, configuration.Tenant{
+		declaration.Tenants = append(declaration.Tenants, configuration.Tenant{
 			Name: name, KeyDigests: []string{configuration.Digest(name)}, Pools: []string{"pool-a", "pool-b"}, Class: "interactive", Weight: 1,
 			Limits: configuration.Limits{RequestsPerSecond: 5, Burst: 10, Streams: 20},
 		})
 	}
-	return declared
+	return declaration
 }
 
-// BenchmarkSwap joins and compiles a whole declaration, as a node does for every
-// change, and reports its size.
-func BenchmarkSwap(b *testing.B) {
+// BenchmarkCompileChange joins and compiles a complete declaration, as a node
+// does for every change, and reports its stored size and its size in memory.
+func BenchmarkCompileChange(b *testing.B) {
 	for _, tenants := range []int{100, 3_100, 31_000} {
 		b.Run(fmt.Sprint(tenants, "tenants"), func(b *testing.B) {
-			parts, err := Split(fullTenants(tenants))
+			parts, err := Split(declarationWithLimits(tenants))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			// One part is new, as after a change of one tenant.
+			// One part differs, as after a change to one tenant.
 			changed := parts[len(parts)-1]
 			changed.Data, _ = changed.Bytes()
 			for b.Loop() {
@@ -54,7 +54,7 @@
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(tenants), "B-stored/tenant")
-			// The stored bytes were counted before and are let go of by compiling.
+			// The first heap reading includes the stored bytes, which Compile releases.
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc)+float64(bytes))/float64(tenants), "B-held/tenant")
 			b.ReportMetric(float64(bytes)/float64(len(parts)), "B/part")
 			runtime.KeepAlive(snapshot)
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -14,7 +14,7 @@
 	"github.com/cloverrail/cloverrail/internal/kvservice"
 )
 
-// The keys used in the service.
+// Keys in the key-value service.
 const (
 	ManifestKey     = "/cloverrail/configuration/manifest"
 	partKeyPrefix   = "/cloverrail/configuration/part/"
@@ -22,44 +22,44 @@
 )
 
 const (
-	// partsReadSingly is how many missing parts are read one by one.
-	partsReadSingly = 4
-	// listedBeginning is the length of "tenants/" and one digit: at most 256 parts,
-	// some 4 MB, in one answer.
-	listedBeginning = len("tenants/") + 1
+	// maxSingleReads is the largest number of missing parts read one by one.
+	maxSingleReads = 4
+	// listPrefixLength covers "tenants/" and one hex digit, which bounds a listing
+	// at 256 parts, about 4 MB.
+	listPrefixLength = len("tenants/") + 1
 )
 
-// operationsPerTransaction stays under the service's usual limit of 128.
-const operationsPerTransaction = 100
+// maxTransactionOps stays under the service's default limit of 128 operations.
+const maxTransactionOps = 100
 
-// The marks stored under a change's key. Whichever is written first is final.
+// Statuses stored under a change's key. The first one written is final.
 const (
-	markAccepted = "accepted"
-	markVoid     = "void"
+	statusAccepted = "accepted"
+	statusVoid     = "void"
 )
 
-// KeyValues is what the store needs of the key-value service.
-type KeyValues interface {
+// KeyValueService is the subset of the key-value service that Store uses.
+type KeyValueService interface {
 	Get(ctx context.Context, key string) (kvservice.KeyValue, error)
 	List(ctx context.Context, prefix string) ([]kvservice.KeyValue, error)
 	Commit(ctx context.Context, transaction kvservice.TxnRequest) (kvservice.TxnResponse, error)
 }
 
-// Version is one accepted revision with all of its parts.
+// Version is one accepted revision of the declaration with all its parts.
 type Version struct {
 	Revision int64
 	Manifest Manifest
 	Parts    []Part
 }
 
-// Compile joins the parts and compiles them. It must be called before the
-// version is shared.
+// Compile joins the parts and compiles the declaration. It modifies the parts,
+// so it must be called before the version is shared between goroutines.
 func (version *Version) Compile() (*configuration.Snapshot, error) {
 	declaration, err := Join(version.Parts)
 	if err != nil {
 		return nil, err
 	}
-	if err := release(version.Parts, declaration); err != nil {
+	if err := shareTenants(version.Parts, declaration); err != nil {
 		return nil, err
 	}
 	return configuration.Compile(version.Revision, version.Manifest.ChangeID, declaration), nil
@@ -67,17 +67,17 @@
 
 // Store reads and changes the declaration.
 type Store struct {
-	service KeyValues
+	service KeyValueService
 }
 
-// New returns a store on the service.
-func New(service KeyValues) *Store {
+// New returns a store backed by the service.
+func New(service KeyValueService) *Store {
 	return &Store{service: service}
 }
 
-// Read fetches the version in force, taking parts that known already holds from
-// there. The version is nil when nothing was ever applied.
-func (store *Store) Read(ctx context.Context, known *Version) (*Version, error) {
+// Read fetches the version in force and reuses the parts already present in
+// cached, which may be nil. It returns nil if no declaration was ever applied.
+func (store *Store) Read(ctx context.Context, cached *Version) (*Version, error) {
 	stored, err := store.service.Get(ctx, ManifestKey)
 	if err != nil {
 		return nil, err
@@ -89,12 +89,12 @@
 	if err := json.Unmarshal(stored.Value, &version.Manifest); err != nil {
 		return nil, errors.Annotate(err, "the stored manifest cannot be read; apply the declaration again")
 	}
-	held := HeldParts(known)
-	if err := store.fetch(ctx, version.Manifest, held); err != nil {
+	parts := PartsByName(cached)
+	if err := store.fetchParts(ctx, version.Manifest, parts); err != nil {
 		return nil, err
 	}
 	for _, name := range version.Manifest.Parts {
-		part, found := held[name]
+		part, found := parts[name]
 		if !found {
 			return nil, failure.New(failure.KindUnavailable, "part "+name.Name+" is gone; another change came meanwhile", "read again")
 		}
@@ -103,18 +103,20 @@
 	return version, nil
 }
 
-// fetch adds the manifest's missing parts to those held: one by one when few are
-// missing, as after a change, and by lists when many are, as after a restart. The
-// service's rate is small, and after a herd restart many nodes ask at once.
-func (store *Store) fetch(ctx context.Context, manifest Manifest, held map[PartName]Part) error {
+// fetchParts adds the missing parts of the manifest to parts. It reads them one
+// by one if few are missing, as after a change, and by prefix listings if many
+// are, as after a restart. This limits the number of requests: the service
+// allows a low request rate, and after a simultaneous restart of the fleet many
+// nodes read at once.
+func (store *Store) fetchParts(ctx context.Context, manifest Manifest, parts map[PartName]Part) error {
 	missing := []PartName{}
 	for _, name := range manifest.Parts {
-		if _, found := held[name]; !found {
+		if _, found := parts[name]; !found {
 			missing = append(missing, name)
 		}
 	}
-	if len(missing) > partsReadSingly {
-		return store.list(ctx, missing, held)
+	if len(missing) > maxSingleReads {
+		return store.listParts(ctx, missing, parts)
 	}
 	for _, name := range missing {
 		value, err := store.service.Get(ctx, partKey(name))
@@ -122,56 +124,58 @@
 			return err
 		}
 		if value.ModRevision > 0 {
-			held[name] = Part{Name: name.Name, Digest: name.Digest, Data: value.Value}
+			parts[name] = Part{Name: name.Name, Digest: name.Digest, Data: value.Value}
 		}
 	}
 	return nil
 }
 
-// list reads the missing parts by lists of those whose names begin alike.
-func (store *Store) list(ctx context.Context, missing []PartName, held map[PartName]Part) error {
+// listParts reads the missing parts with one prefix listing for each distinct
+// name prefix.
+func (store *Store) listParts(ctx context.Context, missing []PartName, parts map[PartName]Part) error {
 	listed := map[string]bool{}
 	for _, name := range missing {
-		beginning := name.Name[:min(len(name.Name), listedBeginning)]
-		if listed[beginning] {
+		namePrefix := name.Name[:min(len(name.Name), listPrefixLength)]
+		if listed[namePrefix] {
 			continue
 		}
-		listed[beginning] = true
-		values, err := store.service.List(ctx, partKeyPrefix+beginning)
+		listed[namePrefix] = true
+		values, err := store.service.List(ctx, partKeyPrefix+namePrefix)
 		if err != nil {
 			return err
 		}
 		for _, value := range values {
-			full := strings.TrimPrefix(string(value.Key), partKeyPrefix)
-			cut := strings.LastIndex(full, "/")
-			if cut > 0 {
-				held[PartName{Name: full[:cut], Digest: full[cut+1:]}] = Part{Name: full[:cut], Digest: full[cut+1:], Data: value.Value}
+			path := strings.TrimPrefix(string(value.Key), partKeyPrefix)
+			separator := strings.LastIndex(path, "/")
+			if separator > 0 {
+				parts[PartName{Name: path[:separator], Digest: path[separator+1:]}] = Part{Name: path[:separator], Digest: path[separator+1:], Data: value.Value}
 			}
 		}
 	}
 	return nil
 }
 
-// HeldParts indexes the parts of a version, which may be nil.
-func HeldParts(version *Version) map[PartName]Part {
-	held := map[PartName]Part{}
+// PartsByName indexes the parts of a version, which may be nil.
+func PartsByName(version *Version) map[PartName]Part {
+	parts := map[PartName]Part{}
 	if version == nil {
-		return held
+		return parts
 	}
 	for _, part := range version.Parts {
-		held[PartName{Name: part.Name, Digest: part.Digest}] = part
+		parts[PartName{Name: part.Name, Digest: part.Digest}] = part
 	}
-	return held
+	return parts
 }
 
 func partKey(name PartName) string {
 	return partKeyPrefix + name.Name + "/" + name.Digest
 }
 
-// Propose makes the declaration the successor of base (nil for the first one).
-// It returns the new version exactly when the change is in force for good. Any
-// error of kind conflict means that it never will be. An error of kind
-// unknown_outcome means that the service could not be asked; Settle tells later.
+// Propose replaces base, which is nil for the first declaration, with the given
+// declaration. It returns the new version if and only if the change is
+// permanently in force. An error of kind conflict means that the change will
+// never take effect. An error of kind unknown_outcome means that the service
+// could not be reached; Settle determines the outcome later.
 func (store *Store) Propose(ctx context.Context, base *Version, changeID string, declaration *configuration.Declaration) (*Version, error) {
 	previous, err := previousHolders(base, declaration)
 	if err != nil {
@@ -180,8 +184,9 @@
 	return store.propose(ctx, base, changeID, declaration, previous)
 }
 
-// SettleHolders ends a change of the claim holders, once they have taken over.
-func (store *Store) SettleHolders(ctx context.Context, base *Version, changeID string) (*Version, error) {
+// CompleteHolderChange removes the previous claim holders from the declaration
+// once the new ones have taken over.
+func (store *Store) CompleteHolderChange(ctx context.Context, base *Version, changeID string) (*Version, error) {
 	declaration, err := Join(base.Parts)
 	if err != nil {
 		return nil, err
@@ -189,23 +194,24 @@
 	return store.propose(ctx, base, changeID, declaration, nil)
 }
 
-// previousHolders says which holders have to hand over under the declaration.
+// previousHolders returns the holders whose claims the holders of the
+// declaration have to take over.
 func previousHolders(base *Version, declaration *configuration.Declaration) ([]string, error) {
 	if base == nil {
 		return nil, nil
 	}
-	before, err := readBase(base.Parts)
+	current, err := decodeBase(base.Parts)
 	if err != nil {
 		return nil, err
 	}
-	if slices.Equal(before.Claims.Holders, declaration.Claims.Holders) || len(before.Claims.Holders) == 0 {
-		return before.Claims.Previous, nil
+	if slices.Equal(current.Claims.Holders, declaration.Claims.Holders) || len(current.Claims.Holders) == 0 {
+		return current.Claims.Previous, nil
 	}
-	if len(before.Claims.Previous) > 0 {
+	if len(current.Claims.Previous) > 0 {
 		return nil, failure.New(failure.KindConflict, "a change of claims.holders is still under way",
 			"apply again once the holders have taken over; all but one of the old and of the new must be up")
 	}
-	return before.Claims.Holders, nil
+	return current.Claims.Holders, nil
 }
 
 func (store *Store) propose(ctx context.Context, base *Version, changeID string, proposed *configuration.Declaration, previous []string) (*Version, error) {
@@ -220,15 +226,15 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := store.service.Commit(ctx, transaction)
-	if err == nil && answer.Succeeded {
-		version.Revision = answer.Header.Revision
+	response, err := store.service.Commit(ctx, transaction)
+	if err == nil && response.Succeeded {
+		version.Revision = response.Header.Revision
 		return version, nil
 	}
-	// A lost answer and a failed comparison look alike from here: the first try
-	// of a repeated transaction may have been the one that took effect.
-	accepted, settleError := store.Settle(ctx, changeID)
-	if settleError != nil {
+	// A lost response and a failed comparison are indistinguishable here: an
+	// earlier attempt of a retried transaction may have taken effect.
+	accepted, settleErr := store.Settle(ctx, changeID)
+	if settleErr != nil {
 		return nil, failure.New(failure.KindUnknownOutcome, "the key-value service gave no answer on change "+changeID,
 			"ask again with `cloverrail apply --settle "+changeID+"`").WithOutcome(failure.Unknown)
 	}
@@ -238,26 +244,27 @@
 	return store.Read(ctx, version)
 }
 
-// prepare stores new parts that do not fit into the deciding transaction and
-// returns that transaction.
+// prepare returns the transaction that puts the version in force. New parts that
+// do not fit into it are stored beforehand.
 func (store *Store) prepare(ctx context.Context, base, version *Version) (kvservice.TxnRequest, error) {
-	held := HeldParts(base)
+	stored := PartsByName(base)
 	puts := []kvservice.RequestOp{}
 	for _, part := range version.Parts {
 		name := PartName{Name: part.Name, Digest: part.Digest}
 		version.Manifest.Parts = append(version.Manifest.Parts, name)
-		if _, found := held[name]; !found {
+		if _, found := stored[name]; !found {
 			puts = append(puts, kvservice.Put(partKey(name), part.Data))
 		}
-		delete(held, name)
+		delete(stored, name)
 	}
-	for len(puts) > operationsPerTransaction/2 {
-		early := puts[:operationsPerTransaction/2]
-		if _, err := store.service.Commit(ctx, kvservice.TxnRequest{Success: early}); err != nil {
-			// Parts without a manifest change nothing, whatever became of them.
+	for len(puts) > maxTransactionOps/2 {
+		batch := puts[:maxTransactionOps/2]
+		if _, err := store.service.Commit(ctx, kvservice.TxnRequest{Success: batch}); err != nil {
+			// Parts that no manifest refers to have no effect, so the change did
+			// not run even if they were stored.
 			return kvservice.TxnRequest{}, failure.As(err).WithOutcome(failure.NotRun)
 		}
-		puts = puts[len(early):]
+		puts = puts[len(batch):]
 	}
 	manifest, err := json.Marshal(version.Manifest)
 	if err != nil {
@@ -265,9 +272,9 @@
 	}
 	operations := append(puts,
 		kvservice.Put(ManifestKey, manifest),
-		kvservice.Put(changeKeyPrefix+version.Manifest.ChangeID, []byte(markAccepted)))
-	for name := range held {
-		if len(operations) < operationsPerTransaction {
+		kvservice.Put(changeKeyPrefix+version.Manifest.ChangeID, []byte(statusAccepted)))
+	for name := range stored {
+		if len(operations) < maxTransactionOps {
 			operations = append(operations, kvservice.Delete(partKey(name)))
 		}
 	}
@@ -280,27 +287,27 @@
 	}, nil
 }
 
-// Settle decides a change whose answer was lost. It writes a mark that voids
-// the change unless the change is already in force; after that a delayed
+// Settle determines the outcome of a change whose response was lost. Unless the
+// change is already in force, it marks the change void, after which a delayed
 // transaction of the change can no longer take effect.
 func (store *Store) Settle(ctx context.Context, changeID string) (accepted bool, err error) {
 	key := changeKeyPrefix + changeID
-	// The answer does not matter: if the mark was lost or refused, the read shows it.
+	// The result is ignored: the read below shows whether the status was written.
 	_, _ = store.service.Commit(ctx, kvservice.TxnRequest{
 		Compare: []kvservice.Compare{kvservice.IfAbsent(key)},
-		Success: []kvservice.RequestOp{kvservice.Put(key, []byte(markVoid))},
+		Success: []kvservice.RequestOp{kvservice.Put(key, []byte(statusVoid))},
 	})
-	mark, err := store.service.Get(ctx, key)
+	status, err := store.service.Get(ctx, key)
 	if err != nil {
 		return false, err
 	}
-	if mark.ModRevision == 0 {
+	if status.ModRevision == 0 {
 		return false, failure.New(failure.KindUnknownOutcome, "the change could not be settled", "ask again").WithOutcome(failure.Unknown)
 	}
-	return string(mark.Value) == markAccepted, nil
+	return string(status.Value) == statusAccepted, nil
 }
 
-// revisionOf is 0 for the absence of any version.
+// revisionOf returns the revision of a version, or 0 for nil.
 func revisionOf(version *Version) int64 {
 	if version == nil {
 		return 0
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -16,61 +16,61 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// unreliable is a service that loses answers after the effect, refuses, and
-// lets transactions take effect long after their caller gave up.
-type unreliable struct {
-	t       *rapid.T
-	store   *kvstub.Store
-	delayed []kvservice.TxnRequest
-	calm    bool
+// flakyService is a key-value service that loses responses after committing,
+// rejects requests, and commits transactions long after their caller gave up.
+type flakyService struct {
+	t        *rapid.T
+	store    *kvstub.Store
+	delayed  []kvservice.TxnRequest
+	reliable bool
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
-func (service *unreliable) fate() string {
-	if service.calm {
+func (service *flakyService) drawFault() string {
+	if service.reliable {
 		return "fine"
 	}
 	return rapid.SampledFrom([]string{"fine", "fine", "fine", "lost answer", "refused", "delayed"}).Draw(service.t, "fate")
 }
 
-func (service *unreliable) Get(_ context.Context, key string) (kvservice.KeyValue, error) {
-	if fate := service.fate(); fate != "fine" {
-		return kvservice.KeyValue{}, errNoAnswer
+func (service *flakyService) Get(_ context.Context, key string) (kvservice.KeyValue, error) {
+	if fault := service.drawFault(); fault != "fine" {
+		return kvservice.KeyValue{}, errNoResponse
 	}
-	answer := service.store.Get(kvservice.RangeRequest{Key: []byte(key)})
-	if len(answer.Kvs) == 0 {
+	response := service.store.Get(kvservice.RangeRequest{Key: []byte(key)})
+	if len(response.Kvs) == 0 {
 		return kvservice.KeyValue{}, nil
 	}
-	return answer.Kvs[0], nil
+	return response.Kvs[0], nil
 }
 
-func (service *unreliable) List(_ context.Context, prefix string) ([]kvservice.KeyValue, error) {
-	if fate := service.fate(); fate != "fine" {
-		return nil, errNoAnswer
+func (service *flakyService) List(_ context.Context, prefix string) ([]kvservice.KeyValue, error) {
+	if fault := service.drawFault(); fault != "fine" {
+		return nil, errNoResponse
 	}
 	end := []byte(prefix)
 	end[len(end)-1]++
 	return service.store.Get(kvservice.RangeRequest{Key: []byte(prefix), RangeEnd: end}).Kvs, nil
 }
 
-func (service *unreliable) Commit(_ context.Context, transaction kvservice.TxnRequest) (kvservice.TxnResponse, error) {
-	switch service.fate() {
+func (service *flakyService) Commit(_ context.Context, transaction kvservice.TxnRequest) (kvservice.TxnResponse, error) {
+	switch service.drawFault() {
 	case "lost answer":
 		service.store.Commit(transaction)
-		return kvservice.TxnResponse{}, errNoAnswer
+		return kvservice.TxnResponse{}, errNoResponse
 	case "refused":
-		return kvservice.TxnResponse{}, errNoAnswer
+		return kvservice.TxnResponse{}, errNoResponse
 	case "delayed":
 		service.delayed = append(service.delayed, transaction)
-		return kvservice.TxnResponse{}, errNoAnswer
+		return kvservice.TxnResponse{}, errNoResponse
 	default:
 		return service.store.Commit(transaction), nil
 	}
 }
 
-// release lets one delayed transaction take effect.
-func (service *unreliable) release() {
+// commitDelayed commits the oldest delayed transaction.
+func (service *flakyService) commitDelayed() {
 	if len(service.delayed) > 0 {
 		service.store.Commit(service.delayed[0])
 		service.delayed = service.delayed[1:]
@@ -78,36 +78,37 @@
 }
 
 func declaration(tenants int) *configuration.Declaration {
-	declared := &configuration.Declaration{Version: 1, Fleet: "test"}
+	result := &configuration.Declaration{Version: 1, Fleet: "test"}
 	for index := range tenants {
-		declared.Tenants = append(declared.Tenants, configuration.Tenant{Name: fmt.Sprintf("tenant-%03d", index), Class: "c", Weight: 1})
+		result.Tenants = append(result.Tenants, configuration.Tenant{Name: fmt.Sprintf("tenant-%03d", index), Class: "c", Weight: 1})
 	}
-	return declared
+	return result
 }
 
-// TestAcceptedExactlyWhenInForce lets operators race over a service that harms
-// every call. What was said to be accepted is in the history of revisions, what
-// was said to be refused never is, and what was unknown can be settled.
-func TestAcceptedExactlyWhenInForce(t *testing.T) {
+// TestChangeIsAcceptedIfAndOnlyIfInForce proposes competing changes through a
+// service that fails on any call. Accepted changes must appear in the revision
+// history, rejected ones must never appear, and Settle must resolve those with an
+// unknown outcome.
+func TestChangeIsAcceptedIfAndOnlyIfInForce(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		service := &unreliable{t: t, store: kvstub.NewStore()}
+		service := &flakyService{t: t, store: kvstub.NewStore()}
 		store := New(service)
-		accepted, refused, unknown := []string{}, []string{}, []string{}
+		accepted, rejected, unknown := []string{}, []string{}, []string{}
 		history := map[string]int64{}
-		last := int64(0)
+		lastRevision := int64(0)
 		observe := func() {
-			calm := New(&unreliable{t: t, store: service.store, calm: true})
-			version, err := calm.Read(context.Background(), nil)
+			reliable := New(&flakyService{t: t, store: service.store, reliable: true})
+			version, err := reliable.Read(context.Background(), nil)
 			require.NoError(t, err)
 			if version != nil {
 				history[version.Manifest.ChangeID] = version.Revision
-				last = version.Revision
+				lastRevision = version.Revision
 			}
 		}
 		bases := []*Version{nil}
 		for step := range rapid.IntRange(1, 25).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "late effect") {
-				service.release()
+				service.commitDelayed()
 				observe()
 			}
 			if base, err := store.Read(context.Background(), nil); err == nil && base != nil {
@@ -115,76 +116,76 @@
 			}
 			base := bases[rapid.IntRange(max(0, len(bases)-3), len(bases)-1).Draw(t, "base")]
 			change := fmt.Sprintf("change-%d", step)
-			inForce := last
+			currentRevision := lastRevision
 			version, err := store.Propose(context.Background(), base, change, declaration(rapid.IntRange(0, 300).Draw(t, "tenants")))
 			observe()
 			switch {
 			case err == nil:
 				accepted = append(accepted, change)
 				require.Equal(t, history[change], version.Revision)
-				require.Equal(t, inForce, revisionOf(base), "a change never overwrites one that its operator had not seen")
+				require.Equal(t, currentRevision, revisionOf(base), "a change never overwrites one that its operator had not seen")
 			case failure.Is(err, failure.KindConflict) || failure.As(err).Outcome == failure.NotRun:
-				refused = append(refused, change)
+				rejected = append(rejected, change)
 			default:
 				unknown = append(unknown, change)
 			}
 		}
-		service.calm = true
+		service.reliable = true
 		for _, change := range unknown {
 			ok, err := store.Settle(context.Background(), change)
 			require.NoError(t, err)
 			if ok {
 				accepted = append(accepted, change)
 			} else {
-				refused = append(refused, change)
+				rejected = append(rejected, change)
 			}
 		}
 		for len(service.delayed) > 0 {
-			service.release()
+			service.commitDelayed()
 			observe()
 		}
 		for _, change := range accepted {
 			require.Contains(t, history, change, "accepted means in force")
 		}
-		for _, change := range refused {
+		for _, change := range rejected {
 			require.NotContains(t, history, change, "refused means never in force")
 		}
 	})
 }
 
-func TestSplitAndJoinAreInverse(t *testing.T) {
+func TestSplitJoinRoundTrip(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		declared := declaration(rapid.IntRange(0, 500).Draw(t, "tenants"))
-		parts, err := Split(declared)
+		original := declaration(rapid.IntRange(0, 500).Draw(t, "tenants"))
+		parts, err := Split(original)
 		require.NoError(t, err)
 		joined, err := Join(parts)
 		require.NoError(t, err)
-		require.Len(t, joined.Tenants, len(declared.Tenants))
-		again, err := Split(joined)
+		require.Len(t, joined.Tenants, len(original.Tenants))
+		resplit, err := Split(joined)
 		require.NoError(t, err)
-		require.Equal(t, parts, again)
+		require.Equal(t, parts, resplit)
 	})
 }
 
-func TestChangeOfOneTenantMovesOnePart(t *testing.T) {
-	declared := declaration(31_000)
-	before, err := Split(declared)
+func TestTenantChangeRewritesOnePart(t *testing.T) {
+	changing := declaration(31_000)
+	before, err := Split(changing)
 	require.NoError(t, err)
-	declared.Tenants[77].Weight = 2
-	after, err := Split(declared)
+	changing.Tenants[77].Weight = 2
+	after, err := Split(changing)
 	require.NoError(t, err)
-	moved, bytes := 0, 0
+	rewritten, bytes := 0, 0
 	for index := range after {
 		if after[index].Digest != before[index].Digest {
-			moved++
+			rewritten++
 			bytes += len(after[index].Data)
 		}
 	}
-	require.Equal(t, 1, moved)
+	require.Equal(t, 1, rewritten)
 	t.Logf("%d parts, %d bytes moved", len(after), bytes)
 }
 
-func TestCompiledPartsServeTheSameBytes(t *testing.T) {
+func TestCompiledPartsMarshalToSameBytes(t *testing.T) {
 	parts, err := Split(declaration(200))
 	require.NoError(t, err)
 	version := &Version{Revision: 1, Parts: append([]Part(nil), parts...)}
@@ -196,12 +197,12 @@
 		require.NoError(t, err)
 		require.Equal(t, string(parts[index].Data), string(data))
 	}
-	again, err := Join(version.Parts)
+	rejoined, err := Join(version.Parts)
 	require.NoError(t, err)
-	require.Equal(t, snapshot.Declaration.Tenants, again.Tenants)
+	require.Equal(t, snapshot.Declaration.Tenants, rejoined.Tenants)
 }
 
-func TestDamagedPartIsRefused(t *testing.T) {
+func TestCorruptPartIsRejected(t *testing.T) {
 	parts, err := Split(declaration(1))
 	require.NoError(t, err)
 	parts[1].Data = []byte(`[]`)
--- a/internal/difference/difference.go
+++ b/internal/difference/difference.go
@@ -1,5 +1,5 @@
-// Package difference shows what one declaration changes in another, by the
-// names of things rather than by their place in the file.
+// Package difference compares two declarations. It identifies list items by name
+// rather than by position.
 package difference
 
 import (
@@ -12,29 +12,30 @@
 	"github.com/cloverrail/cloverrail/internal/configuration"
 )
 
-// Line is one difference.
-type Line struct {
-	// Path names the value, such as tenants[studio-a].limits.burst.
+// Difference is one value that differs between two declarations.
+type Difference struct {
+	// Path identifies the value, such as tenants[studio-a].limits.burst.
 	Path string `json:"path"`
-	// Before and After are JSON; empty means that the value is not there.
+	// Before and After are JSON; empty means that the value is absent.
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// String renders the difference with + for new, - for gone and ~ for changed.
-func (line Line) String() string {
+// String formats the difference with + for added, - for removed and ~ for
+// changed values.
+func (d Difference) String() string {
 	switch {
-	case line.Before == "":
-		return fmt.Sprintf("+ %s: %s", line.Path, line.After)
-	case line.After == "":
-		return fmt.Sprintf("- %s: %s", line.Path, line.Before)
+	case d.Before == "":
+		return fmt.Sprintf("+ %s: %s", d.Path, d.After)
+	case d.After == "":
+		return fmt.Sprintf("- %s: %s", d.Path, d.Before)
 	default:
-		return fmt.Sprintf("~ %s: %s -> %s", line.Path, line.Before, line.After)
+		return fmt.Sprintf("~ %s: %s -> %s", d.Path, d.Before, d.After)
 	}
 }
 
-// Between lists the differences by path. Before may be nil.
-func Between(before, after *configuration.Declaration) ([]Line, error) {
+// Compare returns the differences in order of path. Before may be nil.
+func Compare(before, after *configuration.Declaration) ([]Difference, error) {
 	old, err := flatten(before)
 	if err != nil {
 		return nil, err
@@ -43,19 +44,19 @@
 	if err != nil {
 		return nil, err
 	}
-	lines := []Line{}
+	differences := []Difference{}
 	for path, value := range old {
 		if new[path] != value {
-			lines = append(lines, Line{Path: path, Before: value, After: new[path]})
+			differences = append(differences, Difference{Path: path, Before: value, After: new[path]})
 		}
 	}
 	for path, value := range new {
 		if _, found := old[path]; !found {
-			lines = append(lines, Line{Path: path, After: value})
+			differences = append(differences, Difference{Path: path, After: value})
 		}
 	}
-	sort.Slice(lines, func(i, j int) bool { return lines[i].Path < lines[j].Path })
-	return lines, nil
+	sort.Slice(differences, func(i, j int) bool { return differences[i].Path < differences[j].Path })
+	return differences, nil
 }
 
 func flatten(declaration *configuration.Declaration) (map[string]string, error) {
@@ -63,9 +64,9 @@
 	if declaration == nil {
 		return values, nil
 	}
-	shown := *declaration
-	shown.Claims.Previous = nil
-	data, err := json.Marshal(shown)
+	visible := *declaration
+	visible.Claims.Previous = nil
+	data, err := json.Marshal(visible)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -73,22 +74,22 @@
 	if err := json.Unmarshal(data, &tree); err != nil {
 		return nil, errors.Trace(err)
 	}
-	collect(values, "", tree)
+	flattenInto(values, "", tree)
 	return values, nil
 }
 
-func collect(values map[string]string, path string, node any) {
+func flattenInto(values map[string]string, path string, node any) {
 	switch node := node.(type) {
 	case map[string]any:
 		for key, child := range node {
 			if path != "" {
 				key = path + "." + key
 			}
-			collect(values, key, child)
+			flattenInto(values, key, child)
 		}
 	case []any:
 		for index, child := range node {
-			collect(values, fmt.Sprintf("%s[%s]", path, label(index, child)), child)
+			flattenInto(values, fmt.Sprintf("%s[%s]", path, itemLabel(index, child)), child)
 		}
 	case nil:
 	default:
@@ -97,9 +98,10 @@
 	}
 }
 
-// label names a list's item by its name where it has one, and a plain text by
-// itself, so that order does not show as a difference.
-func label(index int, item any) string {
+// itemLabel identifies a list item by its name, by its method and path, or by its
+// value if it is a string, so that a change of order is not a difference. Other
+// items are identified by index.
+func itemLabel(index int, item any) string {
 	switch item := item.(type) {
 	case map[string]any:
 		if name, ok := item["name"].(string); ok {
--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -13,97 +13,102 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Engines is what the driver needs of the engines.
-type Engines interface {
-	Open(ctx context.Context, dispatch engineapi.Dispatch) (*engineapi.Answer, error)
-	Resume(ctx context.Context, address, attempt string, after int) (*engineapi.Answer, error)
+// EngineClient defines the engine calls that the driver makes.
+type EngineClient interface {
+	Open(ctx context.Context, dispatch engineapi.Dispatch) (*engineapi.Stream, error)
+	Resume(ctx context.Context, address, attempt string, after int) (*engineapi.Stream, error)
 	Cancel(address, attempt string)
 }
 
-// Placer chooses engines and is told how attempts went.
+// Placer selects engines and receives the results of attempts.
 type Placer interface {
-	// Place chooses an engine and counts the attempt as in flight on it.
+	// Place selects an engine and counts the attempt as in flight on it.
 	Place(ctx context.Context, excluded []string) (Target, *failure.Failure)
-	// Ended says that the attempt on the endpoint is over. A failed attempt
-	// counts against the endpoint.
-	Ended(target Target, failed bool)
-	// Alive returns a context that ends when the target's incarnation is gone, so
-	// that a stream on an engine that stopped without a word is given up.
-	Alive(target Target) context.Context
-	// Stale says that the endpoint is not what the placement thought it was.
-	Stale(target Target)
+	// ReportResult reports that the attempt on the target has ended. A failed
+	// attempt counts against the endpoint.
+	ReportResult(target Target, failed bool)
+	// IncarnationContext returns a context that is canceled when the target's
+	// incarnation ends, so that streams on an engine that crashed without closing
+	// its connections are aborted.
+	IncarnationContext(target Target) context.Context
+	// ReportStale reports that the endpoint's state differs from the one that the
+	// placement was based on.
+	ReportStale(target Target)
 }
 
-// Sink is where the answer goes. Emit blocks while the caller reads slowly,
-// which in turn stops reading from the engine: memory does not grow.
+// Sink receives the response. Emit blocks while the caller reads slowly, which
+// in turn stops reads from the engine, so that buffered data stays bounded.
 type Sink interface {
-	// Emit passes one event on. Complete says that the answer's text has ended:
-	// only accounting may follow. ErrUnreadable means that the event cannot be
-	// passed on; any other error, that the caller has left.
+	// Emit forwards one event. Complete reports that the response text has ended
+	// and only usage accounting may follow. ErrMalformedEvent means that the event
+	// cannot be forwarded; any other error, that the caller has disconnected.
 	Emit(data []byte) (complete bool, err error)
 }
 
-// ErrUnreadable says that an engine sent an event that is not one.
-var ErrUnreadable = errors.New("the engine sent an event that cannot be read")
+// ErrMalformedEvent is returned by a sink that cannot parse an engine's event.
+var ErrMalformedEvent = errors.New("the engine sent an event that cannot be read")
 
-// Body builds the request's body for an attempt that goes on from an offset.
-type Body func(continueAt int) ([]byte, error)
+// BodyFunc builds the request body of an attempt that continues at an offset.
+type BodyFunc func(continueAt int) ([]byte, error)
 
-// Call is one request.
+// Call describes one request.
 type Call struct {
 	Path   string
-	Body   Body
+	Body   BodyFunc
 	Placer Placer
 	Sink   Sink
 	Limits Limits
 	Budget Budget
 }
 
-// Rejection is an engine's refusal of the request itself, for the caller to see.
+// Rejection carries an engine's rejection of the request itself, which is
+// forwarded to the caller.
 type Rejection struct {
 	Status int
 	Body   []byte
 }
 
-// Error shows the status.
+// Error implements error.
 func (*Rejection) Error() string { return "the engine rejected the request" }
 
-// Driver performs requests.
+// Driver executes requests: it performs the actions that a Machine returns.
 type Driver struct {
-	engines Engines
-	// Late counts events that arrived for another attempt.
-	late func(count int)
+	engines EngineClient
+	// onDropped receives the number of events dropped because they belonged to an
+	// attempt other than the current one.
+	onDropped func(count int)
 }
 
-// NewDriver returns a driver; late is told of events that were dropped.
-func NewDriver(engines Engines, late func(count int)) *Driver {
-	return &Driver{engines: engines, late: late}
+// NewDriver returns a driver; onDropped is called with the number of events that
+// were dropped as belonging to another attempt.
+func NewDriver(engines EngineClient, onDropped func(count int)) *Driver {
+	return &Driver{engines: engines, onDropped: onDropped}
 }
 
-// run is the state of one request's performance.
+// run holds the state of one request's execution.
 type run struct {
-	driver  *Driver
-	call    Call
-	machine *Machine
-	queue   []Action
-	err     error
-	placed  bool
-	target  Target
+	driver         *Driver
+	call           Call
+	machine        *Machine
+	pendingActions []Action
+	err            error
+	inFlight       bool
+	target         Target
 }
 
-// Run performs a request until its end. The error is a failure.Failure or a
-// Rejection; nil means that the whole answer was emitted.
+// Run executes a request to completion. The error is a failure.Failure or a
+// Rejection; nil means that the whole response was emitted.
 func (driver *Driver) Run(ctx context.Context, call Call) error {
 	run := &run{driver: driver, call: call, machine: NewMachine(call.Limits, call.Budget)}
-	run.queue = run.machine.Start()
-	for len(run.queue) > 0 {
-		next := run.queue[0]
-		run.queue = run.queue[1:]
+	run.pendingActions = run.machine.Start()
+	for len(run.pendingActions) > 0 {
+		next := run.pendingActions[0]
+		run.pendingActions = run.pendingActions[1:]
 		run.perform(ctx, next)
 	}
-	run.release(run.err != nil && !isRejection(run.err) && ctx.Err() == nil)
+	run.endAttempt(run.err != nil && !isRejection(run.err) && ctx.Err() == nil)
 	if run.machine.Dropped > 0 {
-		driver.late(run.machine.Dropped)
+		driver.onDropped(run.machine.Dropped)
 	}
 	return run.err
 }
@@ -114,7 +119,7 @@
 }
 
 func (run *run) step(event Event) {
-	run.queue = append(run.queue, run.machine.Step(boottime.Now(), event)...)
+	run.pendingActions = append(run.pendingActions, run.machine.Step(boottime.Now(), event)...)
 }
 
 func (run *run) perform(ctx context.Context, action Action) {
@@ -139,8 +144,8 @@
 func (run *run) emit(action Emit) {
 	complete, err := run.call.Sink.Emit(action.Data)
 	switch {
-	case errors.Is(err, ErrUnreadable):
-		run.step(Unreadable{})
+	case errors.Is(err, ErrMalformedEvent):
+		run.step(MalformedEvent{})
 	case err != nil:
 		run.step(CallerLeft{})
 	case complete:
@@ -148,16 +153,16 @@
 	}
 }
 
-func (run *run) release(failed bool) {
-	if run.placed {
-		run.placed = false
-		run.call.Placer.Ended(run.target, failed)
+func (run *run) endAttempt(failed bool) {
+	if run.inFlight {
+		run.inFlight = false
+		run.call.Placer.ReportResult(run.target, failed)
 	}
 }
 
 func (run *run) place(ctx context.Context, action Place) {
-	run.release(true)
-	if run.ended(ctx) {
+	run.endAttempt(true)
+	if run.checkContext(ctx) {
 		return
 	}
 	target, refusal := run.call.Placer.Place(ctx, action.Excluded)
@@ -165,13 +170,14 @@
 		run.step(NotPlaced{Failure: refusal})
 		return
 	}
-	run.placed = true
+	run.inFlight = true
 	run.target = target
 	run.step(Placed{Attempt: uuid.NewString(), Target: target})
 }
 
-// ended turns the end of the context into its event.
-func (run *run) ended(ctx context.Context) bool {
+// checkContext steps the machine with the event for a context that has ended and
+// reports whether it has.
+func (run *run) checkContext(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
 		return false
@@ -189,9 +195,9 @@
 		run.step(NotStarted{Attempt: action.Attempt, Reason: err.Error()})
 		return
 	}
-	attemptContext, cancel := run.attemptContext(ctx, action.Target)
+	attemptCtx, cancel := run.attemptContext(ctx, action.Target)
 	defer cancel()
-	answer, err := run.driver.engines.Open(attemptContext, engineapi.Dispatch{
+	stream, err := run.driver.engines.Open(attemptCtx, engineapi.Dispatch{
 		Address: action.Target.Address,
 		Path:    run.call.Path,
 		Attempt: action.Attempt,
@@ -199,14 +205,15 @@
 		Weights: action.Target.Weights,
 		Body:    body,
 	})
-	run.consume(ctx, action.Attempt, answer, err)
+	run.readStream(ctx, action.Attempt, stream, err)
 }
 
-// attemptContext ends with the request, or earlier with the engine.
+// attemptContext returns a context that ends with the request or with the
+// engine's incarnation, whichever ends first.
 func (run *run) attemptContext(ctx context.Context, target Target) (context.Context, context.CancelFunc) {
-	bounded, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(run.call.Placer.Alive(target), cancel)
-	return bounded, func() {
+	attemptCtx, cancel := context.WithCancel(ctx)
+	stop := context.AfterFunc(run.call.Placer.IncarnationContext(target), cancel)
+	return attemptCtx, func() {
 		stop()
 		cancel()
 	}
@@ -214,64 +221,65 @@
 
 func (run *run) resume(ctx context.Context, action Resume) {
 	select {
-	case <-time.After(action.Pause):
+	case <-time.After(action.Delay):
 	case <-ctx.Done():
 	}
-	attemptContext, cancel := run.attemptContext(ctx, action.Target)
+	attemptCtx, cancel := run.attemptContext(ctx, action.Target)
 	defer cancel()
-	answer, err := run.driver.engines.Resume(attemptContext, action.Target.Address, action.Attempt, action.After)
+	stream, err := run.driver.engines.Resume(attemptCtx, action.Target.Address, action.Attempt, action.AfterOffset)
 	var notStarted *engineapi.ErrNotStarted
 	var rejected *engineapi.ErrRejected
 	if errors.As(err, &notStarted) || errors.As(err, &rejected) {
-		// The attempt did start, whatever became of the reopening.
+		// The attempt itself did start, even if the stream could not be reopened.
 		err = errors.New("the stream cannot be resumed")
 	}
-	run.consume(ctx, action.Attempt, answer, err)
+	run.readStream(ctx, action.Attempt, stream, err)
 }
 
-// consume turns an answer, or the lack of one, into events.
-func (run *run) consume(ctx context.Context, attempt string, answer *engineapi.Answer, err error) {
+// readStream steps the machine with the events of a stream, or with the error
+// that prevented it from opening.
+func (run *run) readStream(ctx context.Context, attempt string, stream *engineapi.Stream, err error) {
 	if err != nil {
-		run.failed(ctx, attempt, err)
+		run.handleError(ctx, attempt, err)
 		return
 	}
-	defer answer.Close()
-	run.step(Opened{Attempt: attempt, Served: answer.Served})
-	if len(run.queue) > 0 {
-		run.call.Placer.Stale(run.target)
+	defer stream.Close()
+	run.step(Opened{Attempt: attempt, Identity: stream.Identity})
+	if len(run.pendingActions) > 0 {
+		run.call.Placer.ReportStale(run.target)
 		return
 	}
-	err = answer.Read(func(event engineapi.Event) bool {
+	err = stream.Read(func(event engineapi.Event) bool {
 		run.step(Received{Attempt: attempt, Event: event})
-		for len(run.queue) > 0 {
-			emit, isEmit := run.queue[0].(Emit)
+		for len(run.pendingActions) > 0 {
+			emit, isEmit := run.pendingActions[0].(Emit)
 			if !isEmit {
 				return false
 			}
-			run.queue = run.queue[1:]
+			run.pendingActions = run.pendingActions[1:]
 			run.perform(ctx, emit)
 		}
 		return !run.machine.Finished()
 	})
-	if err != nil && len(run.queue) == 0 && !run.machine.Finished() {
-		run.failed(ctx, attempt, err)
+	if err != nil && len(run.pendingActions) == 0 && !run.machine.Finished() {
+		run.handleError(ctx, attempt, err)
 	}
 }
 
-func (run *run) failed(ctx context.Context, attempt string, err error) {
+func (run *run) handleError(ctx context.Context, attempt string, err error) {
 	var notStarted *engineapi.ErrNotStarted
 	var rejected *engineapi.ErrRejected
 	switch {
 	case errors.As(err, &notStarted):
-		run.call.Placer.Stale(run.target)
+		run.call.Placer.ReportStale(run.target)
 		run.step(NotStarted{Attempt: attempt, Reason: notStarted.Reason})
 	case errors.As(err, &rejected):
 		run.step(Rejected{Attempt: attempt, Status: rejected.Status, Body: rejected.Body})
-	case run.ended(ctx):
+	case run.checkContext(ctx):
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		run.step(Broken{Attempt: attempt, Reason: "the engine closed it early"})
 	default:
-		go run.call.Placer.Stale(run.target)
+		go run.call.Placer.ReportStale(run.target)
 		run.step(Broken{Attempt: attempt, Reason: err.Error()})
 	}
 }
--- a/internal/dispatch/driver_test.go
+++ b/internal/dispatch/driver_test.go
@@ -18,105 +18,106 @@
 )
 
 const (
-	hugeEvents = 60_000
-	eventSize  = 1000
+	largeResponseEvents = 60_000
+	eventSize           = 1000
 )
 
-// hugeEngine streams some 60 MB as fast as it may, and counts what it has written.
-type hugeEngine struct{ written atomic.Int64 }
+// largeResponseEngine streams about 60 MB as fast as it can and counts the events
+// written.
+type largeResponseEngine struct{ written atomic.Int64 }
 
-func (engine *hugeEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (engine *largeResponseEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	for _, name := range []string{engineapi.HeaderAttempt, engineapi.HeaderEpoch, engineapi.HeaderWeights} {
 		writer.Header().Set(name, request.Header.Get(name))
 	}
 	text := strings.Repeat("x", eventSize)
-	for offset := range hugeEvents {
+	for offset := range largeResponseEvents {
 		if _, err := fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", offset, text); err != nil {
 			return
 		}
 		engine.written.Add(1)
 	}
-	_, _ = fmt.Fprintf(writer, "id: %d\ndata: [DONE]\n\n", hugeEvents)
+	_, _ = fmt.Fprintf(writer, "id: %d\ndata: [DONE]\n\n", largeResponseEvents)
 }
 
 // oneEngine places every attempt on one engine.
-type oneEngine struct{ address string }
+type singleEnginePlacer struct{ address string }
 
-func (placer oneEngine) Place(context.Context, []string) (Target, *failure.Failure) {
+func (placer singleEnginePlacer) Place(context.Context, []string) (Target, *failure.Failure) {
 	return Target{Endpoint: "e", Address: placer.address, Epoch: "1", Weights: "v"}, nil
 }
-func (oneEngine) Ended(Target, bool)           {}
-func (oneEngine) Alive(Target) context.Context { return context.Background() }
-func (oneEngine) Stale(Target)                 {}
+func (singleEnginePlacer) ReportResult(Target, bool)                 {}
+func (singleEnginePlacer) IncarnationContext(Target) context.Context { return context.Background() }
+func (singleEnginePlacer) ReportStale(Target)                        {}
 
-// stalled is a caller that reads nothing until it is released.
-type stalled struct {
+// blockingSink reads nothing until it is released.
+type blockingSink struct {
 	released chan struct{}
 	received int
 }
 
-func (sink *stalled) Emit([]byte) (bool, error) {
+func (sink *blockingSink) Emit([]byte) (bool, error) {
 	<-sink.released
 	sink.received++
 	return false, nil
 }
 
-// TestSlowCallerHoldsTheEngineBack lets a caller stand still, and checks that the
-// node does not read the answer into its memory meanwhile.
-func TestSlowCallerHoldsTheEngineBack(t *testing.T) {
-	engine := &hugeEngine{}
+// TestSlowCallerAppliesBackpressure blocks the caller and checks that the node
+// does not buffer the engine's response in memory meanwhile.
+func TestSlowCallerAppliesBackpressure(t *testing.T) {
+	engine := &largeResponseEngine{}
 	server := httptest.NewServer(engine)
 	defer server.Close()
-	sink := &stalled{released: make(chan struct{})}
+	sink := &blockingSink{released: make(chan struct{})}
 	driver := NewDriver(engineapi.NewClient(), func(int) {})
 	done := make(chan error)
 	go func() {
 		done <- driver.Run(context.Background(), Call{
 			Path: "/v1/completions", Body: func(int) ([]byte, error) { return []byte("{}"), nil },
-			Placer: oneEngine{address: strings.TrimPrefix(server.URL, "http://")}, Sink: sink, Limits: DefaultLimits, Budget: &steadyBudget{},
+			Placer: singleEnginePlacer{address: strings.TrimPrefix(server.URL, "http://")}, Sink: sink, Limits: DefaultLimits, Budget: &fixedBudget{},
 		})
 	}()
-	// The engine comes to a stop once the buffers between are full.
+	// The engine blocks once the socket buffers are full.
 	for last := int64(-1); last != engine.written.Load() || last <= 0; time.Sleep(100 * time.Millisecond) {
 		last = engine.written.Load()
 	}
-	require.Less(t, engine.written.Load(), int64(hugeEvents/2))
+	require.Less(t, engine.written.Load(), int64(largeResponseEvents/2))
 	close(sink.released)
 	require.NoError(t, <-done)
-	require.Equal(t, hugeEvents, sink.received)
+	require.Equal(t, largeResponseEvents, sink.received)
 }
 
-// refusing is a sink that fails on its first event.
-type refusing struct{ err error }
+// failingSink fails on its first event.
+type failingSink struct{ err error }
 
-func (sink refusing) Emit([]byte) (bool, error) { return false, sink.err }
+func (sink failingSink) Emit([]byte) (bool, error) { return false, sink.err }
 
-// TestAnAnswerThatBreaksOffIsNoSuccess has sinks that cannot pass an event on: no
-// such run may be taken for a whole answer.
-func TestAnAnswerThatBreaksOffIsNoSuccess(t *testing.T) {
-	server := httptest.NewServer(&hugeEngine{})
+// TestSinkErrorFailsRequest checks that a request whose sink cannot forward an
+// event does not succeed.
+func TestSinkErrorFailsRequest(t *testing.T) {
+	server := httptest.NewServer(&largeResponseEngine{})
 	defer server.Close()
 	for err, kind := range map[error]failure.Kind{
-		ErrUnreadable:             failure.KindStreamBroken,
+		ErrMalformedEvent:         failure.KindStreamBroken,
 		errors.New("caller left"): failure.KindCallerLeft,
 	} {
 		driver := NewDriver(engineapi.NewClient(), func(int) {})
-		ended := driver.Run(context.Background(), Call{
+		result := driver.Run(context.Background(), Call{
 			Path: "/v1/completions", Body: func(int) ([]byte, error) { return []byte("{}"), nil },
-			Placer: oneEngine{address: strings.TrimPrefix(server.URL, "http://")}, Sink: refusing{err: err}, Limits: DefaultLimits, Budget: &steadyBudget{},
+			Placer: singleEnginePlacer{address: strings.TrimPrefix(server.URL, "http://")}, Sink: failingSink{err: err}, Limits: DefaultLimits, Budget: &fixedBudget{},
 		})
-		require.True(t, failure.Is(ended, kind), "%v", ended)
+		require.True(t, failure.Is(result, kind), "%v", result)
 	}
 }
 
-// failingOnce answers its first request with a status of its own making, and
-// serves the next ones.
-type failingOnce struct {
+// failOnceEngine answers the first request with the given status and serves all
+// later ones.
+type failOnceEngine struct {
 	status   int
 	requests atomic.Int32
 }
 
-func (engine *failingOnce) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (engine *failOnceEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if engine.requests.Add(1) == 1 {
 		http.Error(writer, `{"error":{}}`, engine.status)
 		return
@@ -127,25 +128,25 @@
 	_, _ = fmt.Fprint(writer, "id: 0\ndata: text\n\nid: 1\ndata: [DONE]\n\n")
 }
 
-// collecting is a caller that takes everything.
-type collecting struct{ received int }
+// countingSink accepts and counts all events.
+type countingSink struct{ received int }
 
-func (sink *collecting) Emit([]byte) (bool, error) {
+func (sink *countingSink) Emit([]byte) (bool, error) {
 	sink.received++
 	return false, nil
 }
 
-// TestOnlyTheCallersFaultsAreFinal sends a request that the engine answers with an
-// error: one of the request's own is the answer, one of the engine's is not.
-func TestOnlyTheCallersFaultsAreFinal(t *testing.T) {
+// TestOnlyClientErrorsAreFinal checks that a status that blames the request is
+// forwarded to the caller, and that a status that blames the engine is retried.
+func TestOnlyClientErrorsAreFinal(t *testing.T) {
 	for status, final := range map[int]bool{400: true, 404: true, 422: true, 408: false, 429: false, 500: false, 503: false} {
-		engine := &failingOnce{status: status}
+		engine := &failOnceEngine{status: status}
 		server := httptest.NewServer(engine)
-		sink := &collecting{}
+		sink := &countingSink{}
 		driver := NewDriver(engineapi.NewClient(), func(int) {})
 		err := driver.Run(context.Background(), Call{
 			Path: "/v1/completions", Body: func(int) ([]byte, error) { return []byte("{}"), nil },
-			Placer: oneEngine{address: strings.TrimPrefix(server.URL, "http://")}, Sink: sink, Limits: DefaultLimits, Budget: &steadyBudget{left: 3},
+			Placer: singleEnginePlacer{address: strings.TrimPrefix(server.URL, "http://")}, Sink: sink, Limits: DefaultLimits, Budget: &fixedBudget{remaining: 3},
 		})
 		var rejection *Rejection
 		require.Equal(t, final, errors.As(err, &rejection), "status %d: %v", status, err)
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -1,8 +1,8 @@
-// Package dispatch carries one request through its attempts until the caller
-// has the whole answer or a final refusal.
+// Package dispatch executes one request, with retries and stream resumption,
+// until the caller has the whole response or a final failure.
 //
-// Machine is a pure state machine: events and a time go in, actions come out.
-// Driver performs the actions.
+// Machine is a pure state machine that maps events and a time to actions. Driver
+// performs the actions.
 package dispatch
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Target is the engine an attempt was chosen for, and what it held then.
+// Target identifies the engine selected for an attempt, with the incarnation and
+// the weights that it had at that time.
 type Target struct {
 	Endpoint string
 	Address  string
@@ -21,111 +22,113 @@
 	Weights  string
 }
 
-// Event is what happened. Events that name an attempt other than the current
-// one are late or crossed, and are counted and dropped.
+// Event is an input of the machine. Events of an attempt other than the current
+// one arrived late or belong to another request; they are counted and dropped.
 type Event interface{ event() }
 
-// Placed says where the next attempt goes.
+// Placed carries the target of the next attempt.
 type Placed struct {
 	Attempt string
 	Target  Target
 }
 
-// NotPlaced says that no engine can take the request now.
+// NotPlaced reports that no engine can take the request now.
 type NotPlaced struct{ Failure *failure.Failure }
 
-// Opened says that an engine answered an attempt's headers.
+// Opened reports that the response headers of an attempt have arrived.
 type Opened struct {
-	Attempt string
-	Served  engineapi.Served
+	Attempt  string
+	Identity engineapi.ServerIdentity
 }
 
-// Received is one event of an answer.
+// Received carries one event of a response.
 type Received struct {
 	Attempt string
 	Event   engineapi.Event
 }
 
-// NotStarted is an engine's word that it did not start an attempt.
+// NotStarted reports that the engine confirmed that it did not start an attempt.
 type NotStarted struct {
 	Attempt string
 	Reason  string
 }
 
-// Rejected is an engine's final word on the request itself.
+// Rejected reports that an engine rejected the request itself; it is final.
 type Rejected struct {
 	Attempt string
 	Status  int
 	Body    []byte
 }
 
-// Broken says that an attempt's connection ended without the explicit end.
+// Broken reports that an attempt's connection ended without the end event.
 type Broken struct {
 	Attempt string
 	Reason  string
 }
 
-// TextComplete says that the caller has the whole text of the answer.
+// TextComplete reports that the caller has the whole text of the response.
 type TextComplete struct{}
 
-// Unreadable says that an event of the answer cannot be passed on.
-type Unreadable struct{}
+// MalformedEvent reports that an event of the response cannot be forwarded.
+type MalformedEvent struct{}
 
-// Expired says that the request's deadline has passed.
+// Expired reports that the request's deadline has passed.
 type Expired struct{}
 
-// CallerLeft says that nobody wants the answer any more.
+// CallerLeft reports that the caller has disconnected.
 type CallerLeft struct{}
 
-func (Placed) event()       {}
-func (NotPlaced) event()    {}
-func (Opened) event()       {}
-func (Received) event()     {}
-func (NotStarted) event()   {}
-func (Rejected) event()     {}
-func (Broken) event()       {}
-func (TextComplete) event() {}
-func (Unreadable) event()   {}
-func (Expired) event()      {}
-func (CallerLeft) event()   {}
-
-// Action is what the driver must do.
+func (Placed) event()         {}
+func (NotPlaced) event()      {}
+func (Opened) event()         {}
+func (Received) event()       {}
+func (NotStarted) event()     {}
+func (Rejected) event()       {}
+func (Broken) event()         {}
+func (TextComplete) event()   {}
+func (MalformedEvent) event() {}
+func (Expired) event()        {}
+func (CallerLeft) event()     {}
+
+// Action is an operation that the driver must perform.
 type Action interface{ action() }
 
-// Place asks for an engine that is not excluded.
+// Place selects an engine that is not excluded.
 type Place struct{ Excluded []string }
 
-// Send opens an attempt. ContinueAt is the offset to go on from; 0 starts afresh.
+// Send opens an attempt. ContinueAt is the offset to continue at; 0 starts from
+// the beginning.
 type Send struct {
 	Attempt    string
 	Target     Target
 	ContinueAt int
 }
 
-// Resume reopens an attempt's stream after an offset, following a pause.
+// Resume reopens an attempt's stream after an offset, following a delay.
 type Resume struct {
-	Attempt string
-	Target  Target
-	After   int
-	Pause   time.Duration
+	Attempt     string
+	Target      Target
+	AfterOffset int
+	Delay       time.Duration
 }
 
-// Cancel ends an attempt's work on its engine.
+// Cancel stops an attempt on its engine.
 type Cancel struct {
 	Attempt string
 	Target  Target
 }
 
-// Emit passes one event on to the caller.
+// Emit forwards one event to the caller.
 type Emit struct{ Data []byte }
 
-// Finish ends the answer.
+// Finish completes the response.
 type Finish struct{}
 
-// Fail ends the request with its final answer.
+// Fail ends the request with a failure.
 type Fail struct{ Failure *failure.Failure }
 
-// PassRejection hands an engine's refusal of the request itself to the caller.
+// PassRejection forwards an engine's rejection of the request itself to the
+// caller.
 type PassRejection struct {
 	Status int
 	Body   []byte
@@ -142,28 +145,30 @@
 
 // Limits bound a request's attempts.
 type Limits struct {
-	// Attempts counts engines tried; Resumes counts reopenings in a row that
-	// brought nothing new.
-	Attempts int
-	Resumes  int
-	// ResumePause is the wait before the second and later reopenings.
-	ResumePause time.Duration
-	// ReorderWindow bounds the events held back for a missing earlier one.
+	// MaxAttempts bounds the engines tried; MaxResumes bounds consecutive resumes
+	// that yield no new event.
+	MaxAttempts int
+	MaxResumes  int
+	// ResumeDelay is the delay step between resumes: the first resume is immediate,
+	// and each further one waits one step longer.
+	ResumeDelay time.Duration
+	// ReorderWindow bounds the events buffered while an earlier one is missing.
 	ReorderWindow int
-	// RetryAfter is when a caller that was given up on should come back.
+	// RetryAfter is the retry delay returned to the caller of a failed request.
 	RetryAfter time.Duration
 }
 
-// DefaultLimits suit engines that answer within seconds.
-var DefaultLimits = Limits{Attempts: 4, Resumes: 2, ResumePause: 50 * time.Millisecond, ReorderWindow: 64, RetryAfter: time.Second}
+// DefaultLimits are suitable for engines that respond within seconds.
+var DefaultLimits = Limits{MaxAttempts: 4, MaxResumes: 2, ResumeDelay: 50 * time.Millisecond, ReorderWindow: 64, RetryAfter: time.Second}
 
-// Budget permits or denies one more attempt; see package retry.
+// Budget permits or denies retries; see package retry.
 type Budget interface {
-	// Withdraw takes one retry from the budget and reports whether it was there.
+	// Withdraw takes one retry from the budget and reports whether one was
+	// available.
 	Withdraw(now time.Time) bool
 }
 
-// Machine is the state of one request.
+// Machine is the state machine of one request.
 type Machine struct {
 	limits Limits
 	budget Budget
@@ -174,20 +179,20 @@
 	resumes  int
 	excluded []string
 	opened   bool
-	// mayHaveRun turns true when an attempt went out and no engine's own word
-	// says that it did not start.
-	mayHaveRun bool
-	next       int
-	held       map[int]engineapi.Event
-	finished   bool
-	complete   bool
-	// Dropped counts events of attempts that are not the current one.
+	// mayHaveRun is set once an attempt was sent and the engine has not confirmed
+	// that it did not start.
+	mayHaveRun    bool
+	nextOffset    int
+	reorderBuffer map[int]engineapi.Event
+	finished      bool
+	textComplete  bool
+	// Dropped counts events of attempts other than the current one.
 	Dropped int
 }
 
-// NewMachine returns the machine of a new request.
+// NewMachine returns a machine for a new request.
 func NewMachine(limits Limits, budget Budget) *Machine {
-	return &Machine{limits: limits, budget: budget, held: map[int]engineapi.Event{}}
+	return &Machine{limits: limits, budget: budget, reorderBuffer: map[int]engineapi.Event{}}
 }
 
 // Start returns the first action.
@@ -195,10 +200,10 @@
 	return []Action{Place{}}
 }
 
-// Finished reports whether the final answer was given.
+// Finished reports whether the request has reached its final result.
 func (machine *Machine) Finished() bool { return machine.finished }
 
-// Step takes one event. After the final answer it returns no actions.
+// Step processes one event. It returns no actions once the request has finished.
 func (machine *Machine) Step(now time.Time, event Event) []Action {
 	if machine.finished {
 		return nil
@@ -209,22 +214,22 @@
 	case NotPlaced:
 		return machine.notPlaced(event)
 	case Opened:
-		return machine.current(event.Attempt, func() []Action { return machine.checkServed(now, event.Served) })
+		return machine.ifCurrent(event.Attempt, func() []Action { return machine.checkIdentity(now, event.Identity) })
 	case Received:
-		return machine.current(event.Attempt, func() []Action { return machine.received(event.Event) })
+		return machine.ifCurrent(event.Attempt, func() []Action { return machine.received(event.Event) })
 	case NotStarted:
-		return machine.current(event.Attempt, func() []Action { return machine.notStarted(now, event.Reason) })
+		return machine.ifCurrent(event.Attempt, func() []Action { return machine.notStarted(now, event.Reason) })
 	case Rejected:
-		return machine.current(event.Attempt, func() []Action {
+		return machine.ifCurrent(event.Attempt, func() []Action {
 			machine.finished = true
 			return []Action{PassRejection{Status: event.Status, Body: event.Body}}
 		})
 	case Broken:
-		return machine.current(event.Attempt, func() []Action { return machine.broken(now, event.Reason) })
+		return machine.ifCurrent(event.Attempt, func() []Action { return machine.broken(now, event.Reason) })
 	case TextComplete:
-		machine.complete = true
+		machine.textComplete = true
 		return nil
-	case Unreadable:
+	case MalformedEvent:
 		return machine.abandon(failure.KindStreamBroken, "the engine sent an event that cannot be read", "send the request again")
 	case Expired:
 		return machine.abandon(failure.KindDeadline, "the request's deadline passed", "send it again, or declare a longer deadline for its class")
@@ -235,9 +240,9 @@
 	}
 }
 
-// current runs the step only for the current attempt. Anything else is an
-// answer that arrives late or crossed, and must never reach the caller.
-func (machine *Machine) current(attempt string, step func() []Action) []Action {
+// ifCurrent runs step for events of the current attempt only. Any other event is
+// late or belongs to another request, and must never reach the caller.
+func (machine *Machine) ifCurrent(attempt string, step func() []Action) []Action {
 	if attempt == "" || attempt != machine.attempt {
 		machine.Dropped++
 		return nil
@@ -251,8 +256,8 @@
 	machine.opened = false
 	machine.attempt = event.Attempt
 	machine.target = event.Target
-	machine.held = map[int]engineapi.Event{}
-	return []Action{Send{Attempt: event.Attempt, Target: event.Target, ContinueAt: machine.next}}
+	machine.reorderBuffer = map[int]engineapi.Event{}
+	return []Action{Send{Attempt: event.Attempt, Target: event.Target, ContinueAt: machine.nextOffset}}
 }
 
 func (machine *Machine) notPlaced(event NotPlaced) []Action {
@@ -262,79 +267,80 @@
 	return []Action{Fail{Failure: &final}}
 }
 
-// checkServed compares what answered with what the attempt was chosen for. A
-// mismatch is discarded before a byte reaches the caller.
-func (machine *Machine) checkServed(now time.Time, served engineapi.Served) []Action {
-	expected := engineapi.Served{Attempt: machine.attempt, Epoch: machine.target.Epoch, Weights: machine.target.Weights}
-	if served == expected {
+// checkIdentity compares the responding engine with the one selected for the
+// attempt. A mismatch is discarded before any byte reaches the caller.
+func (machine *Machine) checkIdentity(now time.Time, identity engineapi.ServerIdentity) []Action {
+	expected := engineapi.ServerIdentity{Attempt: machine.attempt, Epoch: machine.target.Epoch, Weights: machine.target.Weights}
+	if identity == expected {
 		machine.opened = true
 		return nil
 	}
 	machine.mayHaveRun = true
-	return append(machine.cancel(), machine.another(now, "the answer came from another incarnation or version")...)
+	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the answer came from another incarnation or version")...)
 }
 
 func (machine *Machine) received(event engineapi.Event) []Action {
-	if !machine.opened || event.Offset < machine.next {
+	if !machine.opened || event.Offset < machine.nextOffset {
 		return nil
 	}
-	if event.Offset >= machine.next+machine.limits.ReorderWindow {
-		// Too far ahead: the missing events were lost. Resuming fetches them.
-		return machine.reopen()
+	if event.Offset >= machine.nextOffset+machine.limits.ReorderWindow {
+		// Beyond the reorder window the missing events are lost; resuming fetches them.
+		return machine.resume()
 	}
-	machine.held[event.Offset] = event
+	machine.reorderBuffer[event.Offset] = event
 	actions := []Action{}
 	for {
-		following, found := machine.held[machine.next]
+		ready, found := machine.reorderBuffer[machine.nextOffset]
 		if !found {
 			return actions
 		}
-		delete(machine.held, machine.next)
-		if following.Done {
+		delete(machine.reorderBuffer, machine.nextOffset)
+		if ready.Done {
 			machine.finished = true
 			return append(actions, Finish{})
 		}
-		machine.next++
+		machine.nextOffset++
 		machine.resumes = 0
-		actions = append(actions, Emit{Data: following.Data})
+		actions = append(actions, Emit{Data: ready.Data})
 	}
 }
 
 func (machine *Machine) notStarted(now time.Time, reason string) []Action {
-	return machine.another(now, "the engine did not start it: "+reason)
+	return machine.retryOrFail(now, "the engine did not start it: "+reason)
 }
 
-// broken resumes on the same engine first; its stream may still be there.
+// broken resumes on the same engine first, since its stream may still exist.
 func (machine *Machine) broken(now time.Time, reason string) []Action {
 	machine.mayHaveRun = true
-	if machine.complete {
-		// Going on elsewhere would add text that does not belong to the answer.
+	if machine.textComplete {
+		// A continuation on another engine would append text after the end.
 		machine.finished = true
 		return []Action{Finish{}}
 	}
-	if machine.opened && machine.resumes < machine.limits.Resumes {
-		return machine.reopen()
+	if machine.opened && machine.resumes < machine.limits.MaxResumes {
+		return machine.resume()
 	}
-	return append(machine.cancel(), machine.another(now, "the connection broke: "+reason)...)
+	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the connection broke: "+reason)...)
 }
 
-func (machine *Machine) reopen() []Action {
-	pause := time.Duration(machine.resumes) * machine.limits.ResumePause
+func (machine *Machine) resume() []Action {
+	delay := time.Duration(machine.resumes) * machine.limits.ResumeDelay
 	machine.resumes++
-	machine.held = map[int]engineapi.Event{}
-	return []Action{Resume{Attempt: machine.attempt, Target: machine.target, After: machine.next - 1, Pause: pause}}
+	machine.reorderBuffer = map[int]engineapi.Event{}
+	return []Action{Resume{Attempt: machine.attempt, Target: machine.target, AfterOffset: machine.nextOffset - 1, Delay: delay}}
 }
 
-// another tries one more engine, within the limits and the retry budget.
-func (machine *Machine) another(now time.Time, reason string) []Action {
+// retryOrFail tries another engine within the limits and the retry budget, or
+// fails the request.
+func (machine *Machine) retryOrFail(now time.Time, reason string) []Action {
 	machine.excluded = append(machine.excluded, machine.target.Endpoint)
 	machine.attempt = ""
-	if machine.attempts >= machine.limits.Attempts || !machine.budget.Withdraw(now) {
+	if machine.attempts >= machine.limits.MaxAttempts || !machine.budget.Withdraw(now) {
 		kind := failure.KindBackendFailed
-		if machine.next > 0 {
+		if machine.nextOffset > 0 {
 			kind = failure.KindStreamBroken
 		}
-		return machine.give(kind, fmt.Sprintf("given up after %d attempts: %s", machine.attempts, reason), "send the request again")
+		return machine.fail(kind, fmt.Sprintf("given up after %d attempts: %s", machine.attempts, reason), "send the request again")
 	}
 	return []Action{Place{Excluded: machine.excluded}}
 }
@@ -343,16 +349,16 @@
 	if machine.attempt != "" {
 		machine.mayHaveRun = true
 	}
-	return append(machine.cancel(), machine.give(kind, problem, remedy)...)
+	return append(machine.cancelAttempt(), machine.fail(kind, problem, remedy)...)
 }
 
-func (machine *Machine) give(kind failure.Kind, problem, remedy string) []Action {
+func (machine *Machine) fail(kind failure.Kind, problem, remedy string) []Action {
 	machine.finished = true
 	final := failure.New(kind, problem, remedy).WithOutcome(machine.outcome()).WithRetryAfter(machine.limits.RetryAfter)
 	return []Action{Fail{Failure: final}}
 }
 
-func (machine *Machine) cancel() []Action {
+func (machine *Machine) cancelAttempt() []Action {
 	if machine.attempt == "" {
 		return nil
 	}
@@ -361,7 +367,7 @@
 
 func (machine *Machine) outcome() failure.Outcome {
 	switch {
-	case machine.next > 0:
+	case machine.nextOffset > 0:
 		return failure.Ran
 	case machine.mayHaveRun:
 		return failure.Unknown
--- a/internal/dispatch/machine_test.go
+++ b/internal/dispatch/machine_test.go
@@ -15,170 +15,171 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// world plays the engines against one machine: it draws crashes, refusals, cut
-// connections, lost, repeated and reordered events, and answers of other
-// attempts, and checks every action.
-type world struct {
+// simulator simulates engines for one machine and checks every action. It draws
+// crashes, rejections, lost connections, lost, repeated and reordered events, and
+// responses of other attempts.
+type simulator struct {
 	t        *rapid.T
 	machine  *Machine
 	events   int
 	emitted  int
 	finished bool
 	failed   *failure.Failure
-	// started counts attempts that an engine began to run.
-	started  int
-	attempts []string
-	queue    []Action
-	// tainted says that what answers is not what the attempt was chosen for.
-	tainted bool
+	// started counts attempts that an engine started.
+	started        int
+	attempts       []string
+	pendingActions []Action
+	// mismatched is set while the responding engine is not the one selected for the
+	// attempt.
+	mismatched bool
 }
 
-type steadyBudget struct{ left int }
+type fixedBudget struct{ remaining int }
 
-func (budget *steadyBudget) Withdraw(time.Time) bool {
-	budget.left--
-	return budget.left >= 0
+func (budget *fixedBudget) Withdraw(time.Time) bool {
+	budget.remaining--
+	return budget.remaining >= 0
 }
 
-func token(offset int) string { return fmt.Sprintf("token %d", offset) }
+func eventText(offset int) string { return fmt.Sprintf("token %d", offset) }
 
-func (world *world) step(event Event) {
-	world.queue = append(world.queue, world.machine.Step(time.Unix(0, 0), event)...)
+func (simulator *simulator) step(event Event) {
+	simulator.pendingActions = append(simulator.pendingActions, simulator.machine.Step(time.Unix(0, 0), event)...)
 }
 
-func (world *world) event(offset int) engineapi.Event {
-	if offset == world.events {
+func (simulator *simulator) event(offset int) engineapi.Event {
+	if offset == simulator.events {
 		return engineapi.Event{Offset: offset, Data: []byte("[DONE]"), Done: true}
 	}
-	if world.tainted {
+	if simulator.mismatched {
 		return engineapi.Event{Offset: offset, Data: []byte("text of other weights")}
 	}
-	return engineapi.Event{Offset: offset, Data: []byte(token(offset))}
+	return engineapi.Event{Offset: offset, Data: []byte(eventText(offset))}
 }
 
-func (world *world) run() {
-	world.queue = world.machine.Start()
-	for count := 0; len(world.queue) > 0; count++ {
-		require.Less(world.t, count, 10_000, "the request must come to an end")
-		next := world.queue[0]
-		world.queue = world.queue[1:]
-		world.perform(next)
+func (simulator *simulator) run() {
+	simulator.pendingActions = simulator.machine.Start()
+	for count := 0; len(simulator.pendingActions) > 0; count++ {
+		require.Less(simulator.t, count, 10_000, "the request must come to an end")
+		next := simulator.pendingActions[0]
+		simulator.pendingActions = simulator.pendingActions[1:]
+		simulator.perform(next)
 	}
 }
 
-func (world *world) perform(action Action) {
+func (simulator *simulator) perform(action Action) {
 	switch action := action.(type) {
 	case Place:
-		if rapid.IntRange(0, 9).Draw(world.t, "placement") == 0 {
-			world.step(NotPlaced{Failure: failure.New(failure.KindNoEndpoint, "none", "wait")})
+		if rapid.IntRange(0, 9).Draw(simulator.t, "placement") == 0 {
+			simulator.step(NotPlaced{Failure: failure.New(failure.KindNoEndpoint, "none", "wait")})
 			return
 		}
-		attempt := fmt.Sprintf("attempt-%d", len(world.attempts))
-		world.attempts = append(world.attempts, attempt)
-		world.step(Placed{Attempt: attempt, Target: Target{Endpoint: attempt, Epoch: "epoch", Weights: "v1"}})
+		attempt := fmt.Sprintf("attempt-%d", len(simulator.attempts))
+		simulator.attempts = append(simulator.attempts, attempt)
+		simulator.step(Placed{Attempt: attempt, Target: Target{Endpoint: attempt, Epoch: "epoch", Weights: "v1"}})
 	case Send:
-		require.Equal(world.t, world.emitted, action.ContinueAt, "an attempt goes on where the caller is")
-		world.serve(action.Attempt, action.ContinueAt)
+		require.Equal(simulator.t, simulator.emitted, action.ContinueAt, "an attempt goes on where the caller is")
+		simulator.openAttempt(action.Attempt, action.ContinueAt)
 	case Resume:
-		require.Equal(world.t, world.emitted-1, action.After)
-		world.play(action.Attempt, action.After+1)
+		require.Equal(simulator.t, simulator.emitted-1, action.AfterOffset)
+		simulator.streamEvents(action.Attempt, action.AfterOffset+1)
 	case Emit:
-		require.Equal(world.t, token(world.emitted), string(action.Data), "the caller's events are whole, in order, and its own")
-		world.emitted++
+		require.Equal(simulator.t, eventText(simulator.emitted), string(action.Data), "the caller's events are whole, in order, and its own")
+		simulator.emitted++
 	case Finish:
-		require.Equal(world.t, world.events, world.emitted, "an end is only given to a whole answer")
-		world.finished = true
+		require.Equal(simulator.t, simulator.events, simulator.emitted, "an end is only given to a whole answer")
+		simulator.finished = true
 	case Fail:
-		world.failed = action.Failure
+		simulator.failed = action.Failure
 	}
 }
 
-// serve answers a new attempt.
-func (world *world) serve(attempt string, from int) {
-	answer := rapid.SampledFrom([]string{"serve", "serve", "serve", "not started", "dies", "other epoch", "other weights", "other attempt"}).Draw(world.t, "answer")
-	world.tainted = strings.HasPrefix(answer, "other")
-	switch answer {
+// openAttempt simulates the response to a new attempt.
+func (simulator *simulator) openAttempt(attempt string, from int) {
+	behavior := rapid.SampledFrom([]string{"serve", "serve", "serve", "not started", "dies", "other epoch", "other weights", "other attempt"}).Draw(simulator.t, "answer")
+	simulator.mismatched = strings.HasPrefix(behavior, "other")
+	switch behavior {
 	case "not started":
-		world.step(NotStarted{Attempt: attempt, Reason: "leaving"})
+		simulator.step(NotStarted{Attempt: attempt, Reason: "leaving"})
 		return
 	case "dies":
-		world.started++
-		world.step(Broken{Attempt: attempt, Reason: "reset"})
+		simulator.started++
+		simulator.step(Broken{Attempt: attempt, Reason: "reset"})
 		return
 	case "other epoch":
-		world.step(Opened{Attempt: attempt, Served: engineapi.Served{Attempt: attempt, Epoch: "newer", Weights: "v1"}})
+		simulator.step(Opened{Attempt: attempt, Identity: engineapi.ServerIdentity{Attempt: attempt, Epoch: "newer", Weights: "v1"}})
 	case "other weights":
-		world.step(Opened{Attempt: attempt, Served: engineapi.Served{Attempt: attempt, Epoch: "epoch", Weights: "v0"}})
+		simulator.step(Opened{Attempt: attempt, Identity: engineapi.ServerIdentity{Attempt: attempt, Epoch: "epoch", Weights: "v0"}})
 	case "other attempt":
-		world.step(Opened{Attempt: attempt, Served: engineapi.Served{Attempt: "crossed", Epoch: "epoch", Weights: "v1"}})
+		simulator.step(Opened{Attempt: attempt, Identity: engineapi.ServerIdentity{Attempt: "crossed", Epoch: "epoch", Weights: "v1"}})
 	default:
-		world.step(Opened{Attempt: attempt, Served: engineapi.Served{Attempt: attempt, Epoch: "epoch", Weights: "v1"}})
+		simulator.step(Opened{Attempt: attempt, Identity: engineapi.ServerIdentity{Attempt: attempt, Epoch: "epoch", Weights: "v1"}})
 	}
-	world.started++
-	world.play(attempt, from)
+	simulator.started++
+	simulator.streamEvents(attempt, from)
 }
 
-// play sends events from an offset on, harmed in every way, and then the end of
-// the connection. Wrong text must never come out.
-func (world *world) play(attempt string, from int) {
-	for offset := from; offset <= world.events && len(world.queue) == 0; {
-		switch rapid.SampledFrom([]string{"next", "next", "next", "next", "repeat", "swap", "skip", "crossed", "late", "cut"}).Draw(world.t, "event") {
+// streamEvents sends events from an offset on with drawn faults, followed by the
+// end of the connection.
+func (simulator *simulator) streamEvents(attempt string, from int) {
+	for offset := from; offset <= simulator.events && len(simulator.pendingActions) == 0; {
+		switch rapid.SampledFrom([]string{"next", "next", "next", "next", "repeat", "swap", "skip", "crossed", "late", "cut"}).Draw(simulator.t, "event") {
 		case "next":
-			world.step(Received{Attempt: attempt, Event: world.event(offset)})
+			simulator.step(Received{Attempt: attempt, Event: simulator.event(offset)})
 			offset++
 		case "repeat":
-			world.step(Received{Attempt: attempt, Event: world.event(max(0, offset-1))})
+			simulator.step(Received{Attempt: attempt, Event: simulator.event(max(0, offset-1))})
 		case "swap":
-			if offset < world.events {
-				world.step(Received{Attempt: attempt, Event: world.event(offset + 1)})
-				world.step(Received{Attempt: attempt, Event: world.event(offset)})
+			if offset < simulator.events {
+				simulator.step(Received{Attempt: attempt, Event: simulator.event(offset + 1)})
+				simulator.step(Received{Attempt: attempt, Event: simulator.event(offset)})
 				offset += 2
 			}
 		case "skip":
 			offset++
 		case "crossed":
-			world.step(Received{Attempt: "someone else's", Event: engineapi.Event{Offset: offset, Data: []byte("wrong")}})
+			simulator.step(Received{Attempt: "someone else's", Event: engineapi.Event{Offset: offset, Data: []byte("wrong")}})
 		case "late":
-			earlier := rapid.SampledFrom(world.attempts).Draw(world.t, "earlier")
+			earlier := rapid.SampledFrom(simulator.attempts).Draw(simulator.t, "earlier")
 			if earlier != attempt {
-				world.step(Received{Attempt: earlier, Event: engineapi.Event{Offset: offset, Data: []byte("wrong")}})
-				world.step(Broken{Attempt: earlier, Reason: "late"})
+				simulator.step(Received{Attempt: earlier, Event: engineapi.Event{Offset: offset, Data: []byte("wrong")}})
+				simulator.step(Broken{Attempt: earlier, Reason: "late"})
 			}
 		case "cut":
-			world.step(Broken{Attempt: attempt, Reason: "cut"})
+			simulator.step(Broken{Attempt: attempt, Reason: "cut"})
 			return
 		}
-		// Emits in between do not stop the engine.
-		for len(world.queue) > 0 {
-			emit, isEmit := world.queue[0].(Emit)
+		// Emit actions do not interrupt the stream.
+		for len(simulator.pendingActions) > 0 {
+			emit, isEmit := simulator.pendingActions[0].(Emit)
 			if !isEmit {
 				return
 			}
-			world.queue = world.queue[1:]
-			world.perform(emit)
+			simulator.pendingActions = simulator.pendingActions[1:]
+			simulator.perform(emit)
 		}
 	}
-	if len(world.queue) == 0 && !world.machine.Finished() {
-		world.step(Broken{Attempt: attempt, Reason: "end of connection"})
+	if len(simulator.pendingActions) == 0 && !simulator.machine.Finished() {
+		simulator.step(Broken{Attempt: attempt, Reason: "end of connection"})
 	}
 }
 
-func TestAnswersAreWholeOwnAndHonest(t *testing.T) {
+func TestResponsesAreCompleteAndOutcomesAccurate(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		budget := &steadyBudget{left: rapid.IntRange(0, 6).Draw(t, "budget")}
-		world := &world{t: t, machine: NewMachine(DefaultLimits, budget), events: rapid.IntRange(1, 30).Draw(t, "events")}
-		world.run()
-		require.True(t, world.machine.Finished())
-		require.True(t, world.finished != (world.failed != nil), "a request has exactly one end")
-		if world.failed != nil && world.failed.Outcome == failure.NotRun {
-			require.Zero(t, world.started, "not-run is true")
+		budget := &fixedBudget{remaining: rapid.IntRange(0, 6).Draw(t, "budget")}
+		simulator := &simulator{t: t, machine: NewMachine(DefaultLimits, budget), events: rapid.IntRange(1, 30).Draw(t, "events")}
+		simulator.run()
+		require.True(t, simulator.machine.Finished())
+		require.True(t, simulator.finished != (simulator.failed != nil), "a request has exactly one end")
+		if simulator.failed != nil && simulator.failed.Outcome == failure.NotRun {
+			require.Zero(t, simulator.started, "not-run is true")
 		}
-		require.LessOrEqual(t, len(world.attempts), DefaultLimits.Attempts)
+		require.LessOrEqual(t, len(simulator.attempts), DefaultLimits.MaxAttempts)
 	})
 }
 
-func TestDeadlineIsAnsweredOnceAndCancels(t *testing.T) {
-	machine := NewMachine(DefaultLimits, &steadyBudget{left: 1})
+func TestDeadlineFailsOnceAndCancelsAttempt(t *testing.T) {
+	machine := NewMachine(DefaultLimits, &fixedBudget{remaining: 1})
 	machine.Start()
 	machine.Step(time.Unix(0, 0), Placed{Attempt: "a", Target: Target{Endpoint: "e"}})
 	actions := machine.Step(time.Unix(1, 0), Expired{})
@@ -190,11 +191,11 @@
 	require.Empty(t, machine.Step(time.Unix(2, 0), Expired{}))
 }
 
-func TestCompleteTextNeedsNoContinuation(t *testing.T) {
-	machine := NewMachine(DefaultLimits, &steadyBudget{left: 1})
+func TestCompleteTextEndsWithoutContinuation(t *testing.T) {
+	machine := NewMachine(DefaultLimits, &fixedBudget{remaining: 1})
 	machine.Start()
 	machine.Step(time.Unix(0, 0), Placed{Attempt: "a", Target: Target{Endpoint: "e"}})
-	machine.Step(time.Unix(0, 0), Opened{Attempt: "a", Served: engineapi.Served{Attempt: "a"}})
+	machine.Step(time.Unix(0, 0), Opened{Attempt: "a", Identity: engineapi.ServerIdentity{Attempt: "a"}})
 	machine.Step(time.Unix(0, 0), Received{Attempt: "a", Event: engineapi.Event{Offset: 0, Data: []byte("all")}})
 	machine.Step(time.Unix(0, 0), TextComplete{})
 	require.Equal(t, []Action{Finish{}}, machine.Step(time.Unix(0, 0), Broken{Attempt: "a"}))
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -11,41 +11,41 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// loadLag is how far a load report is behind the engine at the most: attempts
-// sent that long before a report arrived may not be in it yet.
-const loadLag = 250 * time.Millisecond
+// maxLoadReportDelay is the maximum delay of a load report: attempts sent within
+// this time before a report arrived may not be included in it.
+const maxLoadReportDelay = 250 * time.Millisecond
 
-// loadLife is how long a load report says something about its engine.
-const loadLife = 2 * time.Second
+// loadReportTTL is how long a load report is considered valid.
+const loadReportTTL = 2 * time.Second
 
-// Table holds all back ends of the snapshot in force. It is safe for
+// Table holds all backends of the active configuration snapshot. It is safe for
 // concurrent use.
 type Table struct {
 	mutex     sync.Mutex
-	endpoints map[string]*state
-	pools     map[string][]*state
+	endpoints map[string]*entry
+	pools     map[string][]*entry
 }
 
-type state struct {
-	backend  configuration.Backend
-	record   Record
-	drained  bool
-	load     engineapi.Load
-	loadAt   time.Time
-	inFlight int
-	sent     []sending
-	breaker  retry.Breaker
-	alive    context.Context
-	lost     context.CancelFunc
+type entry struct {
+	backend        configuration.Backend
+	record         Record
+	drained        bool
+	load           engineapi.Load
+	loadAt         time.Time
+	inFlight       int
+	unreported     []unreportedAttempt
+	breaker        retry.Breaker
+	incarnation    context.Context
+	endIncarnation context.CancelFunc
 }
 
-// sending is an attempt that the load report may not show yet.
-type sending struct {
+// unreportedAttempt is an attempt that the load report may not include yet.
+type unreportedAttempt struct {
 	at     time.Time
 	tokens int
 }
 
-// View is what operators see of a back end.
+// View is the state of a backend as shown to operators.
 type View struct {
 	Backend  configuration.Backend
 	Record   Record
@@ -56,219 +56,220 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{endpoints: map[string]*state{}, pools: map[string][]*state{}}
+	return &Table{endpoints: map[string]*entry{}, pools: map[string][]*entry{}}
 }
 
-// Configure follows a new snapshot. Back ends that stay keep their state.
+// Configure applies a new snapshot. Backends that remain keep their state.
 func (table *Table) Configure(snapshot *configuration.Snapshot) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	next := map[string]*state{}
-	table.pools = map[string][]*state{}
-	adopt := func(backend configuration.Backend) *state {
-		known, found := table.endpoints[backend.Name]
-		if !found || known.backend.Address != backend.Address {
-			known = &state{record: Record{Name: backend.Name}}
-			known.revive()
+	next := map[string]*entry{}
+	table.pools = map[string][]*entry{}
+	ensure := func(backend configuration.Backend) *entry {
+		e, found := table.endpoints[backend.Name]
+		if !found || e.backend.Address != backend.Address {
+			e = &entry{record: Record{Name: backend.Name}}
+			e.startIncarnation()
 		}
-		known.backend = backend
-		known.drained = snapshot.Draining(backend.Name)
-		next[backend.Name] = known
-		return known
+		e.backend = backend
+		e.drained = snapshot.Draining(backend.Name)
+		next[backend.Name] = e
+		return e
 	}
 	for _, pool := range snapshot.Declaration.Pools {
 		for _, engine := range pool.Engines {
-			table.pools[pool.Name] = append(table.pools[pool.Name], adopt(engine))
+			table.pools[pool.Name] = append(table.pools[pool.Name], ensure(engine))
 		}
 	}
 	for _, service := range snapshot.Declaration.Services {
 		for _, server := range service.Servers {
-			table.pools[service.Name] = append(table.pools[service.Name], adopt(server))
+			table.pools[service.Name] = append(table.pools[service.Name], ensure(server))
 		}
 	}
-	for name, gone := range table.endpoints {
+	for name, removed := range table.endpoints {
 		if next[name] == nil {
-			gone.lost()
+			removed.endIncarnation()
 		}
 	}
 	table.endpoints = next
 }
 
-func (state *state) revive() {
-	state.alive, state.lost = context.WithCancel(context.Background())
+func (entry *entry) startIncarnation() {
+	entry.incarnation, entry.endIncarnation = context.WithCancel(context.Background())
 }
 
-// Record returns what is known of a back end.
+// Record returns the current record of a backend.
 func (table *Table) Record(name string) (Record, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	known, found := table.endpoints[name]
+	e, found := table.endpoints[name]
 	if !found {
 		return Record{}, false
 	}
-	return known.record, true
+	return e.record, true
 }
 
-// Merge takes a record of a higher version. Streams on an incarnation that is
-// gone are told so.
+// Merge applies a record of a higher version. It cancels the context of an
+// incarnation that has been replaced or has gone down, which aborts its streams.
 func (table *Table) Merge(record Record) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	known, found := table.endpoints[record.Name]
-	if !found || record.Version <= known.record.Version {
+	e, found := table.endpoints[record.Name]
+	if !found || record.Version <= e.record.Version {
 		return
 	}
-	replaced := known.record.Epoch != "" && known.record.Epoch != record.Epoch
-	if replaced || (record.Down && !known.record.Down) {
-		known.lost()
-		known.revive()
+	replaced := e.record.Epoch != "" && e.record.Epoch != record.Epoch
+	if replaced || (record.Down && !e.record.Down) {
+		e.endIncarnation()
+		e.startIncarnation()
 	}
 	if replaced {
-		known.load, known.sent, known.breaker = engineapi.Load{}, nil, retry.Breaker{}
+		e.load, e.unreported, e.breaker = engineapi.Load{}, nil, retry.Breaker{}
 	}
-	known.record = record
+	e.record = record
 }
 
-// Report takes a load report.
-func (table *Table) Report(name string, load engineapi.Load, at time.Time) {
+// ReportLoad applies a load report.
+func (table *Table) ReportLoad(name string, load engineapi.Load, at time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	known, found := table.endpoints[name]
-	if !found || at.Before(known.loadAt) {
+	e, found := table.endpoints[name]
+	if !found || at.Before(e.loadAt) {
 		return
 	}
-	known.load, known.loadAt = load, at
-	kept := known.sent[:0]
-	for _, item := range known.sent {
-		if item.at.After(at.Add(-loadLag)) {
-			kept = append(kept, item)
+	e.load, e.loadAt = load, at
+	remaining := e.unreported[:0]
+	for _, item := range e.unreported {
+		if item.at.After(at.Add(-maxLoadReportDelay)) {
+			remaining = append(remaining, item)
 		}
 	}
-	known.sent = kept
+	e.unreported = remaining
 }
 
-// Begin counts an attempt in flight.
+// Begin counts an attempt as in flight.
 func (table *Table) Begin(name string, tokens int, now time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	if known, found := table.endpoints[name]; found {
-		known.inFlight++
-		known.sent = append(known.sent, sending{at: now, tokens: tokens})
-		known.breaker.Sent(now)
+	if e, found := table.endpoints[name]; found {
+		e.inFlight++
+		e.unreported = append(e.unreported, unreportedAttempt{at: now, tokens: tokens})
+		e.breaker.Sent(now)
 	}
 }
 
-// End counts an attempt's end.
+// End records the end of an attempt.
 func (table *Table) End(name string, failed bool, now time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	known, found := table.endpoints[name]
+	e, found := table.endpoints[name]
 	if !found {
 		return
 	}
-	known.inFlight = max(0, known.inFlight-1)
+	e.inFlight = max(0, e.inFlight-1)
 	if failed {
-		known.breaker.Failed(retry.DefaultBreaker, now)
+		e.breaker.Failed(retry.DefaultBreaker, now)
 	} else {
-		known.breaker.Succeeded()
+		e.breaker.Succeeded()
 	}
 }
 
-// Alive returns a context that ends when the incarnation in force now is gone.
-func (table *Table) Alive(name string) context.Context {
+// IncarnationContext returns a context that is canceled when the current
+// incarnation of a backend ends.
+func (table *Table) IncarnationContext(name string) context.Context {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	if known, found := table.endpoints[name]; found {
-		return known.alive
+	if e, found := table.endpoints[name]; found {
+		return e.incarnation
 	}
 	return context.Background()
 }
 
-// Candidates appends the back ends of a pool or service, as routing sees them
-// for a model at a version. Plain services pass an empty model.
+// Candidates appends the backends of a pool or service as routing candidates for a
+// model version. Plain services pass an empty model.
 func (table *Table) Candidates(candidates []routing.Candidate, pool, model, version string, now time.Time) []routing.Candidate {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	typical := typicalLoad(table.pools[pool], now)
-	for _, known := range table.pools[pool] {
-		loaded, held := known.record.Weights[model]
-		load := known.load
-		if now.Sub(known.loadAt) > loadLife {
-			load = typical
+	mean := meanLoad(table.pools[pool], now)
+	for _, e := range table.pools[pool] {
+		loaded, held := e.record.Weights[model]
+		load := e.load
+		if now.Sub(e.loadAt) > loadReportTTL {
+			load = mean
 		}
 		tokens := load.PrefillTokens
-		for _, item := range known.sent {
+		for _, item := range e.unreported {
 			tokens += item.tokens
 		}
 		candidates = append(candidates, routing.Candidate{
-			Endpoint:     known.backend.Name,
-			Address:      known.backend.Address,
-			Zone:         known.backend.Zone,
+			Endpoint:     e.backend.Name,
+			Address:      e.backend.Address,
+			Zone:         e.backend.Zone,
 			Pool:         pool,
-			Epoch:        known.record.Epoch,
+			Epoch:        e.record.Epoch,
 			Ready:        model == "" || (held && loaded == version),
-			Loading:      known.record.Loading,
-			Leaving:      known.record.Leaving || known.drained,
-			Down:         known.record.Down,
-			BreakerOpen:  !known.breaker.Allows(now),
-			InFlight:     known.inFlight,
-			Running:      max(load.Running+load.Waiting, known.inFlight),
+			Loading:      e.record.Loading,
+			Leaving:      e.record.Leaving || e.drained,
+			Down:         e.record.Down,
+			BreakerOpen:  !e.breaker.Allows(now),
+			InFlight:     e.inFlight,
+			Running:      max(load.Running+load.Waiting, e.inFlight),
 			QueuedTokens: tokens,
 		})
 	}
 	return candidates
 }
 
-// Address returns the address of a back end, or "".
+// Address returns the address of a backend, or "" if it is unknown.
 func (table *Table) Address(name string) string {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	if known, found := table.endpoints[name]; found {
-		return known.backend.Address
+	if e, found := table.endpoints[name]; found {
+		return e.backend.Address
 	}
 	return ""
 }
 
-// Usable counts the back ends of a pool that take new work.
-func (table *Table) Usable(pool string) int {
+// CountUsable returns the number of backends of a pool that accept new work.
+func (table *Table) CountUsable(pool string) int {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	count := 0
-	for _, known := range table.pools[pool] {
-		if !known.record.Down && !known.record.Leaving && !known.drained {
+	for _, e := range table.pools[pool] {
+		if !e.record.Down && !e.record.Leaving && !e.drained {
 			count++
 		}
 	}
 	return count
 }
 
-// typicalLoad is the mean of the loads heard of lately. An engine that nothing
-// was heard of counts as typical: as idle it would draw the requests of every
-// node that knows as little.
-func typicalLoad(pool []*state, now time.Time) engineapi.Load {
-	typical, heard := engineapi.Load{}, 0
-	for _, known := range pool {
-		if now.Sub(known.loadAt) > loadLife {
+// meanLoad returns the mean of the valid load reports of a pool. It is assumed for
+// engines without a valid report: were they assumed idle, every node without a
+// report would send its requests to them.
+func meanLoad(pool []*entry, now time.Time) engineapi.Load {
+	mean, count := engineapi.Load{}, 0
+	for _, e := range pool {
+		if now.Sub(e.loadAt) > loadReportTTL {
 			continue
 		}
-		heard++
-		typical.Running += known.load.Running + known.load.Waiting
-		typical.PrefillTokens += known.load.PrefillTokens
+		count++
+		mean.Running += e.load.Running + e.load.Waiting
+		mean.PrefillTokens += e.load.PrefillTokens
 	}
-	if heard > 0 {
-		typical.Running /= heard
-		typical.PrefillTokens /= heard
+	if count > 0 {
+		mean.Running /= count
+		mean.PrefillTokens /= count
 	}
-	return typical
+	return mean
 }
 
-// Views lists all back ends.
+// Views returns all backends.
 func (table *Table) Views() []View {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	views := make([]View, 0, len(table.endpoints))
-	for _, known := range table.endpoints {
-		views = append(views, View{Backend: known.backend, Record: known.record, Drained: known.drained, Load: known.load, InFlight: known.inFlight})
+	for _, e := range table.endpoints {
+		views = append(views, View{Backend: e.backend, Record: e.record, Drained: e.drained, Load: e.load, InFlight: e.inFlight})
 	}
 	return views
 }
