--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	connectTimeout = 500 * time.Millisecond
-	sideTimeout    = time.Second
-	headerTimeout  = 750 * time.Millisecond
-	maximumEvent   = 1 << 20
-	readBuffer     = 2 << 10
+	connectTimeout  = 500 * time.Millisecond
+	controlTimeout  = time.Second
+	headerTimeout   = 750 * time.Millisecond
+	maxEventBytes   = 1 << 20
+	readBufferBytes = 2 << 10
 )
 
-// ErrNotStarted says that the engine itself refused a dispatch before starting it.
+// ErrNotStarted reports that the engine rejected a dispatch before starting it, or
+// could not be connected to.
 type ErrNotStarted struct{ Reason string }
 
-// Error names the engine's reason.
+// Error implements error.
 func (err *ErrNotStarted) Error() string {
 	return "the engine did not start the request: " + err.Reason
 }
 
-// ErrRejected is an engine's final word on a request, such as a bad parameter; it
-// blames the caller. Side endpoints give it for any status that is not 200.
+// ErrRejected reports a client error, such as an invalid parameter, which every
+// engine would return. Control endpoints return it for any status other than 200.
 type ErrRejected struct {
 	Status int
 	Body   []byte
 }
 
-// Error shows the status.
+// Error implements error.
 func (err *ErrRejected) Error() string { return fmt.Sprintf("the engine answered %d", err.Status) }
 
-// Dispatch is one attempt of one request on one engine.
+// Dispatch describes one attempt of one request on one engine.
 type Dispatch struct {
 	Address string
 	Path    string
@@ -51,14 +52,15 @@
 	Body    []byte
 }
 
-// Served states what answered.
-type Served struct {
+// ServerIdentity identifies the attempt, incarnation and weights that a response
+// came from.
+type ServerIdentity struct {
 	Attempt string
 	Epoch   string
 	Weights string
 }
 
-// Event is one event of an answer; Done marks the explicit end.
+// Event is one event of a stream; Done marks the end event.
 type Event struct {
 	Offset int
 	Data   []byte
@@ -67,7 +69,7 @@
 
 // Client calls engines.
 type Client struct {
-	http *http.Client
+	httpClient *http.Client
 }
 
 // NewClient returns a client whose connections are shared by all requests.
@@ -75,28 +77,28 @@
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		MaxIdleConnsPerHost: 256,
-		// An engine answers its headers when it accepts a request, long before the
-		// first token; one that does not has stopped without a word.
+		// An engine sends response headers when it accepts a request, long before the
+		// first token. One that does not has crashed or hangs.
 		ResponseHeaderTimeout: headerTimeout,
-		// Events are small, and each open stream has a buffer of its own.
-		ReadBufferSize:     readBuffer,
+		// Events are small, and each open stream has its own buffer.
+		ReadBufferSize:     readBufferBytes,
 		DisableCompression: true,
 	}
-	return &Client{http: &http.Client{Transport: transport}}
+	return &Client{httpClient: &http.Client{Transport: transport}}
 }
 
-// Answer is an open stream. Close releases it.
-type Answer struct {
-	Served Served
-	body   io.ReadCloser
+// Stream is an open response stream. Close releases its connection.
+type Stream struct {
+	Identity ServerIdentity
+	body     io.ReadCloser
 }
 
-// Close ends the answer's connection.
-func (answer *Answer) Close() { _ = answer.body.Close() }
+// Close closes the stream's connection.
+func (stream *Stream) Close() { _ = stream.body.Close() }
 
-// Open sends a dispatch and returns once the engine has answered its headers.
-func (client *Client) Open(ctx context.Context, dispatch Dispatch) (*Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+dispatch.Address+dispatch.Path, newBody(dispatch.Body))
+// Open sends a dispatch and returns once the response headers have arrived.
+func (client *Client) Open(ctx context.Context, dispatch Dispatch) (*Stream, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+dispatch.Address+dispatch.Path, newSingleUseBody(dispatch.Body))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -104,21 +106,21 @@
 	request.Header.Set(HeaderAttempt, dispatch.Attempt)
 	request.Header.Set(HeaderEpoch, dispatch.Epoch)
 	request.Header.Set(HeaderWeights, dispatch.Weights)
-	return client.open(request)
+	return client.openStream(request)
 }
 
-// Resume goes on with an attempt's stream after the given offset.
-func (client *Client) Resume(ctx context.Context, address, attempt string, after int) (*Answer, error) {
+// Resume reopens an attempt's stream after the given offset.
+func (client *Client) Resume(ctx context.Context, address, attempt string, after int) (*Stream, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathStreams+attempt, nil)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	request.Header.Set(HeaderLastEvent, strconv.Itoa(after))
-	return client.open(request)
+	request.Header.Set(HeaderLastEventID, strconv.Itoa(after))
+	return client.openStream(request)
 }
 
-func (client *Client) open(request *http.Request) (*Answer, error) {
-	response, err := client.http.Do(request)
+func (client *Client) openStream(request *http.Request) (*Stream, error) {
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		var operation *net.OpError
 		if errors.As(err, &operation) && operation.Op == "dial" {
@@ -127,28 +129,28 @@
 		return nil, errors.Trace(err)
 	}
 	if response.StatusCode == http.StatusOK {
-		served := Served{
+		identity := ServerIdentity{
 			Attempt: response.Header.Get(HeaderAttempt),
 			Epoch:   response.Header.Get(HeaderEpoch),
 			Weights: response.Header.Get(HeaderWeights),
 		}
-		return &Answer{Served: served, body: response.Body}, nil
+		return &Stream{Identity: identity, body: response.Body}, nil
 	}
 	defer response.Body.Close()
-	if reason := response.Header.Get(HeaderRefused); reason != "" {
+	if reason := response.Header.Get(HeaderNotStarted); reason != "" {
 		return nil, &ErrNotStarted{Reason: reason}
 	}
-	if !callersFault(response.StatusCode) {
-		// The engine's own trouble, and it does not say whether it had started.
+	if !isClientError(response.StatusCode) {
+		// An error of the engine; the request may or may not have started.
 		return nil, errors.Errorf("the engine answered %d", response.StatusCode)
 	}
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumEvent))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxEventBytes))
 	return nil, &ErrRejected{Status: response.StatusCode, Body: body}
 }
 
-// callersFault reports whether a status blames the request itself, so that every
-// engine would give it.
-func callersFault(status int) bool {
+// isClientError reports whether a status blames the request itself, so that every
+// engine would return it.
+func isClientError(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooEarly, http.StatusTooManyRequests:
 		return false
@@ -157,13 +159,13 @@
 	}
 }
 
-// Read yields the events of the answer in the order they arrive, until the end
-// of the stream, an error, or until the consumer stops.
-func (answer *Answer) Read(yield func(Event) bool) error {
-	var failed error
-	for event, err := range sse.Read(answer.body, &sse.ReadConfig{MaxEventSize: maximumEvent}) {
+// Read yields the events of the stream in the order of arrival until the stream
+// ends, an error occurs or yield returns false.
+func (stream *Stream) Read(yield func(Event) bool) error {
+	var readErr error
+	for event, err := range sse.Read(stream.body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
-			failed = err
+			readErr = err
 			break
 		}
 		offset, err := strconv.Atoi(event.LastEventID)
@@ -174,48 +176,48 @@
 			return nil
 		}
 	}
-	if failed == nil {
-		failed = io.ErrUnexpectedEOF
+	if readErr == nil {
+		readErr = io.ErrUnexpectedEOF
 	}
-	return failed
+	return readErr
 }
 
-// Cancel ends an attempt's work on the engine. It is best effort.
+// Cancel stops an attempt on the engine. It is best effort.
 func (client *Client) Cancel(address, attempt string) {
-	ctx, cancel := context.WithTimeout(context.Background(), sideTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+PathStreams+attempt, nil)
 	if err != nil {
 		return
 	}
-	if response, err := client.http.Do(request); err == nil {
+	if response, err := client.httpClient.Do(request); err == nil {
 		_ = response.Body.Close()
 	}
 }
 
-// Status asks an engine for its account of itself.
+// Status queries an engine's status.
 func (client *Client) Status(ctx context.Context, address string) (Status, error) {
-	return side[Status](ctx, client, sling.New().Get("http://"+address+PathStatus))
+	return callControl[Status](ctx, client, sling.New().Get("http://"+address+PathStatus))
 }
 
-// eventQuery is the query of a read of cache events.
+// eventQuery holds the query parameters of the cache event stream.
 type eventQuery struct {
 	After uint64 `url:"after"`
 }
 
-// Follow reads the stream of cache events after a sequence number, until handle
-// returns false or the stream ends. A stream that is silent for longer than
-// silence has ended.
-func (client *Client) Follow(ctx context.Context, address string, after uint64, silence time.Duration, handle func(EventBatch) bool) error {
+// WatchEvents reads the stream of cache events after a sequence number until
+// handle returns false or the stream ends. A stream without a message for longer
+// than silenceTimeout is closed.
+func (client *Client) WatchEvents(ctx context.Context, address string, after uint64, silenceTimeout time.Duration, handle func(EventBatch) bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	request, err := sling.New().Get("http://" + address + PathEvents).QueryStruct(eventQuery{After: after}).Request()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	watchdog := time.AfterFunc(silence, cancel)
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
 	defer watchdog.Stop()
-	response, err := client.http.Do(request.WithContext(ctx))
+	response, err := client.httpClient.Do(request.WithContext(ctx))
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -229,33 +231,33 @@
 		if err := decoder.Decode(&batch); err != nil {
 			return errors.Trace(err)
 		}
-		watchdog.Reset(silence)
+		watchdog.Reset(silenceTimeout)
 		if !handle(batch) {
 			return nil
 		}
 	}
 }
 
-// Snapshot reads the whole cache.
+// Snapshot reads the whole prefix cache of an engine.
 func (client *Client) Snapshot(ctx context.Context, address string) (Snapshot, error) {
-	return side[Snapshot](ctx, client, sling.New().Get("http://"+address+PathSnapshot))
+	return callControl[Snapshot](ctx, client, sling.New().Get("http://"+address+PathSnapshot))
 }
 
-// Order sends a fenced order.
+// Order sends a fenced order to an engine.
 func (client *Client) Order(ctx context.Context, address string, order Order) error {
-	_, err := side[json.RawMessage](ctx, client, sling.New().Post("http://"+address+PathOrders).BodyJSON(order))
+	_, err := callControl[json.RawMessage](ctx, client, sling.New().Post("http://"+address+PathOrders).BodyJSON(order))
 	return err
 }
 
-func side[Result any](ctx context.Context, client *Client, call *sling.Sling) (Result, error) {
+func callControl[Result any](ctx context.Context, client *Client, call *sling.Sling) (Result, error) {
 	var result Result
-	ctx, cancel := context.WithTimeout(ctx, sideTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := call.Request()
 	if err != nil {
 		return result, errors.Trace(err)
 	}
-	response, err := sling.New().Client(client.http).Do(request.WithContext(ctx), &result, nil)
+	response, err := sling.New().Client(client.httpClient).Do(request.WithContext(ctx), &result, nil)
 	if err != nil {
 		return result, errors.Trace(err)
 	}
--- a/internal/engineapi/run.go
+++ b/internal/engineapi/run.go
@@ -6,31 +6,31 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// blockBytes is the size of one block's name.
-const blockBytes = 8
+// hashBytes is the encoded size of one block hash.
+const hashBytes = 8
 
-// Run is a row of cache events with consecutive sequence numbers and one kind.
-// The blocks of one chain follow each other: each stored block's parent is the
-// block before it, each evicted block's parent the block after it.
-type Run struct {
-	First uint64    `json:"first"`
-	Kind  EventKind `json:"kind"`
-	// Parent of the first block of a stored run.
+// EventRun is a run of cache events with consecutive sequence numbers and the same
+// kind. In a stored run, each block's parent is the block before it. An evicted
+// run need not be a chain; the parents of its blocks are omitted.
+type EventRun struct {
+	FirstSequence uint64    `json:"first"`
+	Kind          EventKind `json:"kind"`
+	// Parent is the parent of the first block of a stored run.
 	Parent prefix.Hash `json:"parent,omitempty"`
-	// Blocks holds the names, eight bytes each, least significant first.
+	// Blocks holds the block hashes, eight bytes each, little-endian.
 	Blocks []byte `json:"blocks,omitempty"`
 }
 
-// Pack puts events into runs. An evicted block's parent is not needed by anyone
-// who knew the block, and is left out.
-func Pack(events []CacheEvent) []Run {
-	runs := []Run{}
+// Pack encodes events as runs. The parents of evicted blocks are omitted, since a
+// receiver that tracks the block already knows its parent.
+func Pack(events []CacheEvent) []EventRun {
+	runs := []EventRun{}
 	var last CacheEvent
 	for index, event := range events {
 		follows := index > 0 && event.Kind == last.Kind && event.Sequence == last.Sequence+1 &&
 			(event.Kind == BlockEvicted || (event.Kind == BlockStored && event.Parent == last.Block))
 		if !follows {
-			run := Run{First: event.Sequence, Kind: event.Kind}
+			run := EventRun{FirstSequence: event.Sequence, Kind: event.Kind}
 			if event.Kind == BlockStored {
 				run.Parent = event.Parent
 			}
@@ -43,14 +43,14 @@
 	return runs
 }
 
-// Unpack is the inverse of Pack, but for the parents of evicted blocks.
-func Unpack(runs []Run) []CacheEvent {
+// Unpack decodes runs. It restores everything but the parents of evicted blocks.
+func Unpack(runs []EventRun) []CacheEvent {
 	events := []CacheEvent{}
 	for _, run := range runs {
 		parent := run.Parent
-		for index := 0; index+blockBytes <= len(run.Blocks); index += blockBytes {
+		for index := 0; index+hashBytes <= len(run.Blocks); index += hashBytes {
 			block := prefix.Hash(binary.LittleEndian.Uint64(run.Blocks[index:]))
-			events = append(events, CacheEvent{Sequence: run.First + uint64(index/blockBytes), Kind: run.Kind, Block: block, Parent: parent})
+			events = append(events, CacheEvent{Sequence: run.FirstSequence + uint64(index/hashBytes), Kind: run.Kind, Block: block, Parent: parent})
 			if run.Kind == BlockStored {
 				parent = block
 			}
--- a/internal/engineapi/run_test.go
+++ b/internal/engineapi/run_test.go
@@ -11,7 +11,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestUnpackIsTheInverseOfPack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		events := []CacheEvent{}
 		sequence := uint64(0)
@@ -30,9 +30,9 @@
 	})
 }
 
-// BenchmarkEventBytes reports what an event costs on the wire when a request
-// stores 26 blocks and evicts 26, as at the size designed for.
-func BenchmarkEventBytes(b *testing.B) {
+// BenchmarkPackedEventSize reports the encoded size of an event for a request that
+// stores 26 blocks and evicts 26, as at the designed fleet size.
+func BenchmarkPackedEventSize(b *testing.B) {
 	events := []CacheEvent{}
 	parent := prefix.Hash(1)
 	for index := range uint64(52) {
--- a/internal/eventreader/reader.go
+++ b/internal/eventreader/reader.go
@@ -1,5 +1,6 @@
-// Package eventreader follows one engine's cache events and turns them into
-// batches for the nodes that keep the index. It is a pure state machine.
+// Package eventreader tracks the cache contents of one engine from its cache
+// events and converts them into updates for the nodes that hold the prefix
+// index. It is a pure state machine.
 package eventreader
 
 import (
@@ -10,66 +11,69 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// snapshotPause is the least time between two snapshots of one engine, so that
-// gaps in a herd do not bury it.
-const snapshotPause = 2 * time.Second
+// minSnapshotInterval is the minimum time between two snapshots of one engine,
+// so that a burst of gaps does not overload it.
+const minSnapshotInterval = 2 * time.Second
 
-// Reader is the state of following one engine.
+// Reader tracks the cache contents of one engine.
 type Reader struct {
 	endpoint string
 	epoch    string
 	sequence uint64
-	// places knows each block's place in its chain; the chain's first block decides
-	// which node keeps the block.
-	places map[prefix.Hash]place
-	// stale says that events were missed, so a snapshot is wanted.
-	stale      bool
-	snapshotAt time.Time
+	// positions holds each block's position in its chain. The first block of the
+	// chain determines which index partition holds the block.
+	positions map[prefix.Hash]chainPosition
+	// needsSnapshot is set if events were missed.
+	needsSnapshot  bool
+	lastSnapshotAt time.Time
 }
 
-// place is a block's place in its chain.
-type place struct {
+// chainPosition is a block's position in its chain.
+type chainPosition struct {
 	root prefix.Hash
 	// depth counts from 1.
 	depth int32
 }
 
-// New returns a reader that wants a snapshot first.
+// New returns a reader that needs an initial snapshot.
 func New(endpoint string) *Reader {
-	return &Reader{endpoint: endpoint, places: map[prefix.Hash]place{}, stale: true}
+	return &Reader{endpoint: endpoint, positions: map[prefix.Hash]chainPosition{}, needsSnapshot: true}
 }
 
-// After is the sequence number to ask events after.
-func (reader *Reader) After() uint64 { return reader.sequence }
+// LastSequence returns the sequence number of the last event applied; the next
+// poll asks for the events after it.
+func (reader *Reader) LastSequence() uint64 { return reader.sequence }
 
-// SnapshotDue reports whether a snapshot is wanted and may be asked for now.
+// SnapshotDue reports whether a snapshot is needed and may be requested now.
 func (reader *Reader) SnapshotDue(now time.Time) bool {
-	return reader.stale && now.Sub(reader.snapshotAt) >= snapshotPause
+	return reader.needsSnapshot && now.Sub(reader.lastSnapshotAt) >= minSnapshotInterval
 }
 
-// Holder names the incarnation followed.
+// Holder identifies the engine incarnation being tracked.
 func (reader *Reader) Holder() prefixindex.Holder {
 	return prefixindex.NewHolder(reader.endpoint, reader.epoch)
 }
 
-// Change is what a batch or snapshot did, with the root of each block.
+// Change is the effect of an event batch or snapshot on the engine's cache.
 type Change struct {
-	// Events counts those of the batch.
-	Events  int
+	// Events is the number of events applied.
+	Events int
+	// Clear is set if all earlier blocks of the engine are gone.
 	Clear   bool
-	Stored  []Placed
-	Evicted []Placed
+	Stored  []PositionedBlock
+	Evicted []PositionedBlock
 }
 
-// Placed is a block with the root that decides its home.
-type Placed struct {
+// PositionedBlock is a block with its position in its chain. Root, the first
+// block of the chain, determines which index partition holds it.
+type PositionedBlock struct {
 	Block prefix.Hash
 	Root  prefix.Hash
-	// Depth of the block in its chain, from 1.
+	// Depth in the chain counts from 1.
 	Depth int
 }
 
-// Update puts the change into the words of the index.
+// Update converts the change into an index update.
 func (change Change) Update(holder prefixindex.Holder) prefixindex.Update {
 	update := prefixindex.Update{Holder: holder, Clear: change.Clear}
 	for _, item := range change.Stored {
@@ -81,102 +85,103 @@
 	return update
 }
 
-// Cleared returns the change as one that starts afresh.
-func (change Change) Cleared() Change {
+// WithClear returns a copy that replaces all earlier state of the holder.
+func (change Change) WithClear() Change {
 	change.Clear = true
 	return change
 }
 
-// Take follows a batch of events. Stores and evictions of one block within the
-// batch cancel out.
-func (reader *Reader) Take(batch engineapi.EventBatch) Change {
+// ApplyBatch applies a batch of events. Stores and evictions of the same block
+// within the batch cancel out.
+func (reader *Reader) ApplyBatch(batch engineapi.EventBatch) Change {
 	change := Change{}
 	if batch.Epoch != reader.epoch {
-		// The engine came back empty: nothing known of it holds any longer.
-		reader.begin(batch.Epoch)
+		// The engine restarted with an empty cache.
+		reader.reset(batch.Epoch)
 		change.Clear = true
-		reader.stale = batch.Epoch != ""
-		reader.snapshotAt = time.Time{}
+		reader.needsSnapshot = batch.Epoch != ""
+		reader.lastSnapshotAt = time.Time{}
 		return change
 	}
-	stored := map[prefix.Hash]place{}
-	evicted := map[prefix.Hash]place{}
+	stored := map[prefix.Hash]chainPosition{}
+	evicted := map[prefix.Hash]chainPosition{}
 	for _, event := range engineapi.Unpack(batch.Runs) {
 		if event.Sequence <= reader.sequence {
 			continue
 		}
 		if event.Sequence != reader.sequence+1 {
-			reader.stale = true
+			reader.needsSnapshot = true
 		}
 		reader.sequence = event.Sequence
 		change.Events++
 		switch event.Kind {
 		case engineapi.BlockStored:
-			stands := reader.store(event)
-			if _, undone := evicted[event.Block]; undone {
+			position := reader.addBlock(event)
+			if _, cancelled := evicted[event.Block]; cancelled {
 				delete(evicted, event.Block)
 			} else {
-				stored[event.Block] = stands
+				stored[event.Block] = position
 			}
 		case engineapi.BlockEvicted:
-			stood, known := reader.places[event.Block]
-			delete(reader.places, event.Block)
-			if _, undone := stored[event.Block]; undone {
+			evictedFrom, known := reader.positions[event.Block]
+			delete(reader.positions, event.Block)
+			if _, cancelled := stored[event.Block]; cancelled {
 				delete(stored, event.Block)
 			} else if known {
-				evicted[event.Block] = stood
+				evicted[event.Block] = evictedFrom
 			}
 		case engineapi.CacheCleared:
-			reader.places = map[prefix.Hash]place{}
-			stored, evicted = map[prefix.Hash]place{}, map[prefix.Hash]place{}
+			reader.positions = map[prefix.Hash]chainPosition{}
+			stored, evicted = map[prefix.Hash]chainPosition{}, map[prefix.Hash]chainPosition{}
 			change.Clear = true
 		}
 	}
-	change.Stored = placed(stored)
-	change.Evicted = placed(evicted)
+	change.Stored = positionedBlocks(stored)
+	change.Evicted = positionedBlocks(evicted)
 	return change
 }
 
-// Reset takes a snapshot in place of all that was known.
-func (reader *Reader) Reset(now time.Time, snapshot engineapi.Snapshot) Change {
-	reader.begin(snapshot.Epoch)
+// ApplySnapshot replaces the state with a snapshot.
+func (reader *Reader) ApplySnapshot(now time.Time, snapshot engineapi.Snapshot) Change {
+	reader.reset(snapshot.Epoch)
 	reader.sequence = snapshot.Sequence
-	reader.snapshotAt = now
-	reader.stale = false
+	reader.lastSnapshotAt = now
+	reader.needsSnapshot = false
 	for _, block := range snapshot.Blocks {
-		reader.store(block)
+		reader.addBlock(block)
 	}
-	return reader.All()
+	return reader.FullState()
 }
 
-// All is the whole of what is known, for a node that has to start afresh.
-func (reader *Reader) All() Change {
-	return Change{Clear: true, Stored: placed(reader.places)}
+// FullState returns a change that conveys the complete state, for an index node
+// that missed an update.
+func (reader *Reader) FullState() Change {
+	return Change{Clear: true, Stored: positionedBlocks(reader.positions)}
 }
 
-func (reader *Reader) begin(epoch string) {
+func (reader *Reader) reset(epoch string) {
 	reader.epoch = epoch
 	reader.sequence = 0
-	reader.places = map[prefix.Hash]place{}
+	reader.positions = map[prefix.Hash]chainPosition{}
 }
 
-func (reader *Reader) store(event engineapi.CacheEvent) place {
-	stands := place{root: event.Block, depth: 1}
+func (reader *Reader) addBlock(event engineapi.CacheEvent) chainPosition {
+	position := chainPosition{root: event.Block, depth: 1}
 	if event.Parent != 0 {
-		// A parent lost in a gap makes this block its own root until the
-		// snapshot that the gap calls for.
-		if parent, found := reader.places[event.Parent]; found {
-			stands = place{root: parent.root, depth: parent.depth + 1}
+		// If the parent was lost in a gap, the block is treated as a root until
+		// the snapshot that follows the gap.
+		if parent, found := reader.positions[event.Parent]; found {
+			position = chainPosition{root: parent.root, depth: parent.depth + 1}
 		}
 	}
-	reader.places[event.Block] = stands
-	return stands
+	reader.positions[event.Block] = position
+	return position
 }
 
-func placed(blocks map[prefix.Hash]place) []Placed {
-	list := make([]Placed, 0, len(blocks))
-	for block, stands := range blocks {
-		list = append(list, Placed{Block: block, Root: stands.root, Depth: int(stands.depth)})
+func positionedBlocks(blocks map[prefix.Hash]chainPosition) []PositionedBlock {
+	list := make([]PositionedBlock, 0, len(blocks))
+	for block, position := range blocks {
+		list = append(list, PositionedBlock{Block: block, Root: position.root, Depth: int(position.depth)})
 	}
 	return list
 }
--- a/internal/eventreader/reader_test.go
+++ b/internal/eventreader/reader_test.go
@@ -15,12 +15,11 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// TestIndexConvergesAfterGaps runs an engine whose events are lost at random and
-// that crashes, and checks that the index agrees with its cache once a snapshot
-// has made up for the gaps.
+// TestIndexConvergesAfterGaps loses events at random and crashes the engine, and
+// checks that the index matches the engine's cache after the next snapshot.
 func TestIndexConvergesAfterGaps(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		config := enginemodel.Standard(time.Millisecond, 1e9)
+		config := enginemodel.StandardConfig(time.Millisecond, 1e9)
 		config.CacheBlocks = 30
 		engine := enginemodel.New(config)
 		reader := New("engine")
@@ -34,10 +33,10 @@
 					events = append(events, event)
 				}
 			}
-			change := reader.Take(engineapi.EventBatch{Epoch: epoch, Runs: engineapi.Pack(events)})
+			change := reader.ApplyBatch(engineapi.EventBatch{Epoch: epoch, Runs: engineapi.Pack(events)})
 			if reader.SnapshotDue(now) {
 				sequence, blocks := engine.Snapshot()
-				change = reader.Reset(now, engineapi.Snapshot{Epoch: epoch, Sequence: sequence, Blocks: blocks})
+				change = reader.ApplySnapshot(now, engineapi.Snapshot{Epoch: epoch, Sequence: sequence, Blocks: blocks})
 			}
 			index.Apply(change.Update(reader.Holder()))
 		}
@@ -63,10 +62,10 @@
 			serve(rapid.Uint64Range(1, 6).Draw(t, "root"), rapid.IntRange(1, 12).Draw(t, "length"))
 			read(true)
 		}
-		// A last event shows a gap at the end of what was read.
+		// One more event reveals a gap at the end of the sequence.
 		serve(99, 1)
 		read(false)
-		now = now.Add(snapshotPause)
+		now = now.Add(minSnapshotInterval)
 		read(false)
 		for root := uint64(1); root <= 6; root++ {
 			chain := []prefix.Hash{}
@@ -84,21 +83,22 @@
 	})
 }
 
-func TestSnapshotsArePaced(t *testing.T) {
+func TestSnapshotsAreRateLimited(t *testing.T) {
 	reader := New("engine")
 	now := time.Unix(0, 0).Add(time.Hour)
 	require.True(t, reader.SnapshotDue(now))
-	reader.Reset(now, engineapi.Snapshot{Epoch: "1", Sequence: 1})
-	reader.Take(engineapi.EventBatch{Epoch: "1", Runs: engineapi.Pack([]engineapi.CacheEvent{{Sequence: 9, Kind: engineapi.BlockStored, Block: 1}})})
-	require.False(t, reader.SnapshotDue(now.Add(snapshotPause/2)))
-	require.True(t, reader.SnapshotDue(now.Add(snapshotPause)))
+	reader.ApplySnapshot(now, engineapi.Snapshot{Epoch: "1", Sequence: 1})
+	reader.ApplyBatch(engineapi.EventBatch{Epoch: "1", Runs: engineapi.Pack([]engineapi.CacheEvent{{Sequence: 9, Kind: engineapi.BlockStored, Block: 1}})})
+	require.False(t, reader.SnapshotDue(now.Add(minSnapshotInterval/2)))
+	require.True(t, reader.SnapshotDue(now.Add(minSnapshotInterval)))
 }
 
-// BenchmarkTake reads batches as one poll of a busy engine brings them.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkApplyBatch applies batches of the size that one poll of a busy engine
+// returns.
+func BenchmarkApplyBatch(b *testing.B) {
 	const batchLength = 50
 	reader := New("engine")
-	reader.Reset(time.Now(), engineapi.Snapshot{Epoch: "1"})
+	reader.ApplySnapshot(time.Now(), engineapi.Snapshot{Epoch: "1"})
 	events := make([]engineapi.CacheEvent, batchLength)
 	sequence := uint64(0)
 	b.ReportAllocs()
@@ -111,13 +111,13 @@
 			}
 			events[position] = event
 		}
-		reader.Take(engineapi.EventBatch{Epoch: "1", Runs: engineapi.Pack(events)})
+		reader.ApplyBatch(engineapi.EventBatch{Epoch: "1", Runs: engineapi.Pack(events)})
 	}
 	b.ReportMetric(batchLength*float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkMemory reports the bytes that a reader keeps for each block.
-func BenchmarkMemory(b *testing.B) {
+// BenchmarkReaderMemoryPerBlock reports the memory that a reader uses per block.
+func BenchmarkReaderMemoryPerBlock(b *testing.B) {
 	const blocks = 112_000
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -127,7 +127,7 @@
 		snapshot := engineapi.Snapshot{Epoch: "1", Blocks: make([]engineapi.CacheEvent, 0)}
 		for block := range blocks {
 			snapshot.Blocks = append(snapshot.Blocks[:0], engineapi.CacheEvent{Block: prefix.Hash(block + 1)})
-			reader.store(snapshot.Blocks[0])
+			reader.addBlock(snapshot.Blocks[0])
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/eventstream/reader_test.go
+++ b/internal/eventstream/reader_test.go
@@ -13,23 +13,23 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestEventsKeepEveryByteAndACutOneIsNoEvent(t *testing.T) {
+func TestNextPreservesBytesAndRejectsTruncatedEvent(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		events := []string{}
 		for number := range rapid.IntRange(0, 8).Draw(t, "events") {
 			data := rapid.StringMatching(`[a-z ]{0,40}`).Draw(t, "data")
-			end := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "end")
-			events = append(events, fmt.Sprintf("note: 3%sid: %d%sdata: %s%s%s", end, number+7, end, data, end, end))
+			lineEnd := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "end")
+			events = append(events, fmt.Sprintf("note: 3%sid: %d%sdata: %s%s%s", lineEnd, number+7, lineEnd, data, lineEnd, lineEnd))
 		}
-		whole := strings.Join(events, "")
-		cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
-		reader := NewReader(iotest.OneByteReader(strings.NewReader(whole[:cut])), 16)
-		passed := 0
+		stream := strings.Join(events, "")
+		truncateAt := rapid.IntRange(0, len(stream)).Draw(t, "cut")
+		reader := NewReader(iotest.OneByteReader(strings.NewReader(stream[:truncateAt])), 16)
+		bytesRead := 0
 		for number := 0; ; number++ {
 			event, err := reader.Next()
 			if err != nil {
 				expected := io.ErrUnexpectedEOF
-				if passed == cut {
+				if bytesRead == truncateAt {
 					expected = io.EOF
 				}
 				require.Equal(t, expected, err)
@@ -38,12 +38,12 @@
 			require.Equal(t, events[number], string(event.Raw))
 			require.True(t, event.HasID)
 			require.Equal(t, int64(number+7), event.ID)
-			passed += len(event.Raw)
+			bytesRead += len(event.Raw)
 		}
 	})
 }
 
-func FuzzNextNeverPassesMoreThanItRead(f *testing.F) {
+func FuzzNextReturnsPrefixOfInput(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\n")
 	f.Add("id: x\n\n\n")
 	f.Fuzz(func(t *testing.T, stream string) {
--- a/internal/fleet/era_test.go
+++ b/internal/fleet/era_test.go
@@ -49,7 +49,7 @@
 			}
 			start(0)
 			time.Sleep(time.Second)
-			backup := store.Copy()
+			backup := store.Snapshot()
 			for n := 1; n < nodes; n++ {
 				start(n)
 			}
@@ -57,7 +57,7 @@
 			require.Len(t, store.Entries("nodes/"), nodes)
 			reader := all[0]
 			reader.ObserveNodes(store.Entries("nodes/"), time.Now())
-			store.GoBack(backup)
+			store.Restore(backup)
 			clear(counter.perSecond)
 			for _, r := range all {
 				r.Eras.Observe(2)
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -19,7 +19,7 @@
 	keys := make([]rankKey, 0, len(infos))
 	r.large = 0
 	for name, nodeInfo := range infos {
-		key := rankKey{name: name, hash: prefix.KeyOf(name), large: nodeInfo.cores >= largeNodeShare*largest}
+		key := rankKey{name: name, hash: prefix.HashName(name), large: nodeInfo.cores >= largeNodeShare*largest}
 		if key.large {
 			r.large++
 		}
@@ -94,7 +94,7 @@
 	offset := r.ownRank
 	if offset >= len(r.ranked) {
 		// The exact rank is not known, and other nodes would use the same one.
-		offset = int(uint32(prefix.KeyOf(r.Name)))
+		offset = int(uint32(prefix.HashName(r.Name)))
 	}
 	return append(rotate(local, offset), rotate(remote, offset)...)
 }
@@ -141,7 +141,7 @@
 	if len(candidates) == 0 {
 		candidates = o.relays
 	}
-	return prefix.Owner(prefix.KeyOf(key), candidates) == o.self
+	return prefix.Owner(prefix.HashName(key), candidates) == o.self
 }
 
 // Owns reports whether this node owns a key of a zone at the last observation.
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -155,5 +155,5 @@
 // contains the relays.
 func (r *Registry) registrationKey() string {
 	milliCores := min(maxMilliCores, int(1000*r.Cores))
-	return fmt.Sprintf("%s%06d-%016x/%s/%s", r.Prefix, maxMilliCores-milliCores, uint64(prefix.KeyOf(r.Name)), r.Name, r.Incarnation)
+	return fmt.Sprintf("%s%06d-%016x/%s/%s", r.Prefix, maxMilliCores-milliCores, uint64(prefix.HashName(r.Name)), r.Name, r.Incarnation)
 }
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -19,9 +19,9 @@
 		down := atomic.Bool{}
 		store := storestub.New(time.Now, func(string) storestub.Fault {
 			if down.Load() {
-				return storestub.Refused
+				return storestub.FaultUnavailable
 			}
-			return storestub.None
+			return storestub.FaultNone
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		registry := func(ctx context.Context, name string) *Registry {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -166,7 +166,7 @@
 func (v View) digest() uint64 {
 	digest := uint64(len(v.First)) + uint64(v.Roomy)<<32
 	for _, entry := range v.First {
-		digest += uint64(prefix.KeyOf(entry.Key + " " + string(entry.Value)))
+		digest += uint64(prefix.HashName(entry.Key + " " + string(entry.Value)))
 	}
 	return digest
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway is the callers' HTTP interface: OpenAI-style completions and
-// chat completions, the list of models, and plain services by declared route.
+// Package gateway implements the callers' HTTP interface: OpenAI-style completions
+// and chat completions, the list of models, and the declared routes of plain
+// services.
 package gateway
 
 import (
@@ -27,16 +28,16 @@
 	headerOutcome        = "X-Outcome"
 	headerClass          = "X-Job-Class"
 	headerIdempotencyKey = "Idempotency-Key"
-	maximumKeyLength     = 200
-	// writeTimeout is how long a caller may take to accept one event. A slower
-	// one has left, whatever its connection says.
+	maxKeyLength         = 200
+	// writeTimeout bounds the write of one event. A slower caller is considered
+	// disconnected even if its connection is still open.
 	writeTimeout = 30 * time.Second
 )
 
-// Router is what the gateway needs of its node.
+// Router defines the operations of a node that the gateway uses.
 type Router interface {
-	Enter() (*configuration.Snapshot, func(), error)
-	Admit(ctx context.Context, tenant *configuration.Tenant) (func(), error)
+	BeginRequest() (*configuration.Snapshot, func(), error)
+	AdmitTenant(ctx context.Context, tenant *configuration.Tenant) (func(), error)
 	Complete(ctx context.Context, completion *node.Completion) error
 	Forward(ctx context.Context, tenant *configuration.Tenant, service *configuration.Service, request plain.Request, idempotencyKey string) (*plain.Answer, error)
 	Ready() bool
@@ -45,7 +46,7 @@
 	Metrics() *metrics.Set
 }
 
-// Gateway serves callers.
+// Gateway serves callers' requests.
 type Gateway struct {
 	router Router
 	mux    *http.ServeMux
@@ -54,16 +55,16 @@
 // New returns the gateway of a node.
 func New(router Router) *Gateway {
 	gateway := &Gateway{router: router, mux: http.NewServeMux()}
-	gateway.mux.HandleFunc("POST /v1/completions", gateway.wrap("completions", gateway.complete))
-	gateway.mux.HandleFunc("POST /v1/chat/completions", gateway.wrap("chat", gateway.complete))
-	gateway.mux.HandleFunc("GET /v1/models", gateway.wrap("models", gateway.models))
+	gateway.mux.HandleFunc("POST /v1/completions", gateway.handler("completions", gateway.complete))
+	gateway.mux.HandleFunc("POST /v1/chat/completions", gateway.handler("chat", gateway.complete))
+	gateway.mux.HandleFunc("GET /v1/models", gateway.handler("models", gateway.models))
 	gateway.mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "ok\n") })
 	gateway.mux.HandleFunc("GET /readyz", gateway.ready)
-	gateway.mux.HandleFunc("/", gateway.wrap("plain", gateway.forward))
+	gateway.mux.HandleFunc("/", gateway.handler("plain", gateway.forward))
 	return gateway
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (gateway *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	gateway.mux.ServeHTTP(writer, request)
 }
@@ -76,7 +77,7 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// call is one authenticated request.
+// call holds the state of one request; its tenant is set once it is authenticated.
 type call struct {
 	http.ResponseWriter
 	request  *http.Request
@@ -86,69 +87,71 @@
 	started  time.Time
 }
 
-// wrap authenticates, admits and reads a request, and answers its failure.
-func (gateway *Gateway) wrap(route string, serve func(*call) error) http.HandlerFunc {
+// handler returns a handler that authenticates, admits and reads a request, calls
+// handle, and writes the error response if it fails.
+func (gateway *Gateway) handler(route string, handle func(*call) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if gateway.router.Draining() {
-			// A connection that ends with its answer cannot be cut between two.
+			// A connection closed after this response cannot be cut by the shutdown
+			// while the next request is on its way.
 			writer.Header().Set("Connection", "close")
 		}
-		served := &call{ResponseWriter: writer, request: request, started: time.Now()}
-		err := gateway.serve(served, serve)
+		c := &call{ResponseWriter: writer, request: request, started: time.Now()}
+		err := gateway.serve(c, handle)
 		result := "ok"
 		if err != nil {
 			result = "refused"
-			gateway.refuse(writer, err)
+			gateway.writeFailure(writer, err)
 		}
 		gateway.router.Metrics().Requests.WithLabelValues(route, result).Inc()
 	}
 }
 
-func (gateway *Gateway) serve(served *call, serve func(*call) error) error {
-	snapshot, done, err := gateway.router.Enter()
+func (gateway *Gateway) serve(c *call, handle func(*call) error) error {
+	snapshot, done, err := gateway.router.BeginRequest()
 	if err != nil {
 		return err
 	}
 	defer done()
-	served.snapshot = snapshot
-	key, _ := strings.CutPrefix(served.request.Header.Get("Authorization"), "Bearer ")
+	c.snapshot = snapshot
+	key, _ := strings.CutPrefix(c.request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := snapshot.TenantOfKey(key)
 	if !found {
 		return failure.New(failure.KindUnauthorized, "the key is missing or wrong", "send the tenant's key as a bearer token")
 	}
-	served.tenant = tenant
-	leave, err := gateway.router.Admit(served.request.Context(), tenant)
+	c.tenant = tenant
+	release, err := gateway.router.AdmitTenant(c.request.Context(), tenant)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	limited := http.MaxBytesReader(served.ResponseWriter, served.request.Body, gateway.router.MaximumBody())
-	if served.body, err = io.ReadAll(limited); err != nil {
+	defer release()
+	limited := http.MaxBytesReader(c.ResponseWriter, c.request.Body, gateway.router.MaximumBody())
+	if c.body, err = io.ReadAll(limited); err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
 			return failure.New(failure.KindTooLarge, "the body is longer than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes", "send a shorter one")
 		}
 		return failure.New(failure.KindInvalidRequest, "the body was cut off", "send the request again")
 	}
-	return serve(served)
+	return handle(c)
 }
 
-// classOf picks the job class: the one named in a header, or the tenant's own.
-func classOf(served *call) (*configuration.Class, error) {
-	name := served.request.Header.Get(headerClass)
+// classOf returns the job class named in the header, or else the tenant's own.
+func classOf(c *call) (*configuration.Class, error) {
+	name := c.request.Header.Get(headerClass)
 	if name == "" {
-		name = served.tenant.Class
+		name = c.tenant.Class
 	}
-	class, found := served.snapshot.Class(name)
+	class, found := c.snapshot.Class(name)
 	if !found {
 		return nil, failure.New(failure.KindInvalidRequest, "no job class is named "+strconv.Quote(name), "leave out "+headerClass+" or name a declared class")
 	}
 	return class, nil
 }
 
-func (gateway *Gateway) complete(served *call) error {
+func (gateway *Gateway) complete(c *call) error {
 	message := &engineapi.CompletionRequest{}
-	if err := json.Unmarshal(served.body, message); err != nil {
+	if err := json.Unmarshal(c.body, message); err != nil {
 		return failure.New(failure.KindInvalidRequest, "the body is not valid: "+err.Error(), "send a JSON object as the API describes it")
 	}
 	if message.Model == "" {
@@ -157,24 +160,24 @@
 	if message.Choices > 1 {
 		return failure.New(failure.KindInvalidRequest, "n is above 1", "send one request for each choice")
 	}
-	class, err := classOf(served)
+	class, err := classOf(c)
 	if err != nil {
 		return err
 	}
-	answer := newAnswer(served, message, gateway.router.Metrics())
-	err = gateway.router.Complete(served.request.Context(), &node.Completion{
-		Tenant:  served.tenant,
-		Class:   class,
-		Path:    served.request.URL.Path,
-		Body:    served.body,
-		Request: message,
-		Emitted: answer.text,
-		Sink:    answer,
+	completion := newCompletion(c, message, gateway.router.Metrics())
+	err = gateway.router.Complete(c.request.Context(), &node.Completion{
+		Tenant:      c.tenant,
+		Class:       class,
+		Path:        c.request.URL.Path,
+		Body:        c.body,
+		Request:     message,
+		EmittedText: completion.text,
+		Sink:        completion,
 	})
-	return answer.end(err)
+	return completion.finalize(err)
 }
 
-// modelList answers GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -187,42 +190,42 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (gateway *Gateway) models(served *call) error {
+func (gateway *Gateway) models(c *call) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
-	for _, model := range served.snapshot.ModelsFor(served.tenant) {
-		list.Data = append(list.Data, modelEntry{ID: model.Name, Object: "model", OwnedBy: served.snapshot.Declaration.Fleet})
+	for _, model := range c.snapshot.ModelsFor(c.tenant) {
+		list.Data = append(list.Data, modelEntry{ID: model.Name, Object: "model", OwnedBy: c.snapshot.Declaration.Fleet})
 		for _, adapter := range model.Adapters {
-			list.Data = append(list.Data, modelEntry{ID: model.Name + ":" + adapter, Object: "model", OwnedBy: served.snapshot.Declaration.Fleet})
+			list.Data = append(list.Data, modelEntry{ID: model.Name + ":" + adapter, Object: "model", OwnedBy: c.snapshot.Declaration.Fleet})
 		}
 	}
-	writeJSON(served, http.StatusOK, list)
+	writeJSON(c, http.StatusOK, list)
 	return nil
 }
 
-func (gateway *Gateway) forward(served *call) error {
-	service, route := served.snapshot.ServiceFor(served.tenant, served.request.Method, served.request.URL.Path)
+func (gateway *Gateway) forward(c *call) error {
+	service, route := c.snapshot.ServiceFor(c.tenant, c.request.Method, c.request.URL.Path)
 	if service == nil {
 		return failure.New(failure.KindNotFound, "there is nothing at this path", "use a declared route")
 	}
-	key := served.request.Header.Get(headerIdempotencyKey)
-	if len(key) > maximumKeyLength {
+	key := c.request.Header.Get(headerIdempotencyKey)
+	if len(key) > maxKeyLength {
 		return failure.New(failure.KindInvalidRequest, "the idempotency key is longer than 200 characters", "use a UUID of version 7")
 	}
-	class, err := classOf(served)
+	class, err := classOf(c)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(served.request.Context(), class.Deadline)
+	ctx, cancel := context.WithTimeout(c.request.Context(), class.Deadline)
 	defer cancel()
-	header := served.request.Header.Clone()
+	header := c.request.Header.Clone()
 	for _, name := range []string{"Authorization", "Connection", "Keep-Alive", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Proxy-Authorization"} {
 		header.Del(name)
 	}
-	answer, err := gateway.router.Forward(ctx, served.tenant, service, plain.Request{
-		Method:     served.request.Method,
-		Path:       served.request.URL.RequestURI(),
+	answer, err := gateway.router.Forward(ctx, c.tenant, service, plain.Request{
+		Method:     c.request.Method,
+		Path:       c.request.URL.RequestURI(),
 		Header:     header,
-		Body:       served.body,
+		Body:       c.body,
 		Repeatable: route.Repeatable,
 	}, key)
 	if err != nil {
@@ -230,16 +233,17 @@
 	}
 	for name, values := range answer.Header {
 		if name != "Connection" && name != "Content-Length" && name != "Keep-Alive" {
-			served.Header()[name] = values
+			c.Header()[name] = values
 		}
 	}
-	served.WriteHeader(answer.Status)
-	// There is nobody to tell when the caller has left.
-	_, _ = served.Write(answer.Body)
+	c.WriteHeader(answer.Status)
+	// A write error means that the caller has disconnected.
+	_, _ = c.Write(answer.Body)
 	return nil
 }
 
-// errorBody is the shape that OpenAI clients expect, with what they ignore.
+// errorBody is the error response that OpenAI clients expect, with additional
+// fields that they ignore.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -266,7 +270,7 @@
 	failure.KindDeadline:       http.StatusGatewayTimeout,
 }
 
-func detailOf(refusal *failure.Failure) errorDetail {
+func newErrorDetail(refusal *failure.Failure) errorDetail {
 	kind := "api_error"
 	if status := statusOfKind[refusal.Kind]; status >= 400 && status < 500 {
 		kind = "invalid_request_error"
@@ -274,8 +278,9 @@
 	return errorDetail{Message: refusal.Error(), Type: kind, Code: refusal.Kind, Outcome: refusal.Outcome}
 }
 
-// refuse answers a failure whose answer has not begun.
-func (gateway *Gateway) refuse(writer http.ResponseWriter, err error) {
+// writeFailure writes the error response of a request whose response has not
+// started.
+func (gateway *Gateway) writeFailure(writer http.ResponseWriter, err error) {
 	var rejection *dispatch.Rejection
 	if errors.As(err, &rejection) {
 		writer.Header().Set("Content-Type", "application/json")
@@ -295,10 +300,11 @@
 	if refusal.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(refusal.RetryAfter.Seconds()))))
 	}
-	writeJSON(writer, status, errorBody{Error: detailOf(refusal)})
+	writeJSON(writer, status, errorBody{Error: newErrorDetail(refusal)})
 }
 
-// writeJSON answers with a value. A caller who has left does not get it.
+// writeJSON writes a JSON response. Write errors are ignored, since they mean that
+// the caller has disconnected.
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -1,4 +1,4 @@
-// Package agenda orders what happens in virtual time.
+// Package agenda implements the event queue of discrete-event simulations.
 package agenda
 
 import (
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Entry is something due at a moment.
+// Entry is an item that is due at a point in virtual time.
 type Entry[Item any] struct {
-	At    time.Time
-	Item  Item
-	order uint64
+	At       time.Time
+	Item     Item
+	sequence uint64
 }
 
-// Agenda hands out entries by time, and those of one moment in the order in
-// which they were added.
-type Agenda[Item any] struct {
-	entries entries[Item]
-	added   uint64
+// Queue is a priority queue of entries ordered by time. Entries of the same time are
+// returned in the order in which they were added.
+type Queue[Item any] struct {
+	entries      entries[Item]
+	lastSequence uint64
 }
 
-// Add puts an item on the agenda.
-func (agenda *Agenda[Item]) Add(at time.Time, item Item) {
-	agenda.added++
-	heap.Push(&agenda.entries, Entry[Item]{At: at, Item: item, order: agenda.added})
+// Add schedules an item.
+func (queue *Queue[Item]) Add(at time.Time, item Item) {
+	queue.lastSequence++
+	heap.Push(&queue.entries, Entry[Item]{At: at, Item: item, sequence: queue.lastSequence})
 }
 
-// Len is the number of entries.
-func (agenda *Agenda[Item]) Len() int { return len(agenda.entries) }
+// Len returns the number of entries.
+func (queue *Queue[Item]) Len() int { return len(queue.entries) }
 
-// Due takes the next entry if it is not after the horizon.
-func (agenda *Agenda[Item]) Due(horizon time.Time) (Entry[Item], bool) {
-	if len(agenda.entries) == 0 || agenda.entries[0].At.After(horizon) {
+// PopUntil removes and returns the next entry unless it is after the horizon.
+func (queue *Queue[Item]) PopUntil(horizon time.Time) (Entry[Item], bool) {
+	if len(queue.entries) == 0 || queue.entries[0].At.After(horizon) {
 		return Entry[Item]{}, false
 	}
-	return agenda.Next()
+	return queue.Pop()
 }
 
-// Next takes the next entry.
-func (agenda *Agenda[Item]) Next() (Entry[Item], bool) {
-	if len(agenda.entries) == 0 {
+// Pop removes and returns the next entry.
+func (queue *Queue[Item]) Pop() (Entry[Item], bool) {
+	if len(queue.entries) == 0 {
 		return Entry[Item]{}, false
 	}
-	return heap.Pop(&agenda.entries).(Entry[Item]), true
+	return heap.Pop(&queue.entries).(Entry[Item]), true
 }
 
 type entries[Item any] []Entry[Item]
@@ -53,7 +53,7 @@
 	if !entries[i].At.Equal(entries[j].At) {
 		return entries[i].At.Before(entries[j].At)
 	}
-	return entries[i].order < entries[j].order
+	return entries[i].sequence < entries[j].sequence
 }
 
 func (entries entries[Item]) Swap(i, j int) { entries[i], entries[j] = entries[j], entries[i] }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -24,49 +24,50 @@
 	"github.com/cloverrail/cloverrail/internal/operator"
 )
 
-// OperatorKey opens the operators' interface of a laboratory fleet.
+// OperatorKey authenticates against the operator API of a test cluster.
 const OperatorKey = "demo-operator"
 
 const (
-	fleetKey     = "6c61622d666c6565742d6b65792d31323334"
-	readyTimeout = 20 * time.Second
-	readyPause   = 20 * time.Millisecond
+	fleetKey          = "6c61622d666c6565742d6b65792d31323334"
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// Config sets up a cluster.
+// Config holds the settings of a cluster.
 type Config struct {
-	// Declaration is an example whose addresses are replaced.
+	// Declaration is a template; Start replaces its addresses.
 	Declaration *configuration.Declaration
 	Nodes       int
-	// MachineListLag is how far the machine list is behind.
+	// MachineListLag delays changes of the machine list.
 	MachineListLag time.Duration
-	// EventGap is the share of cache events that engines lose.
-	EventGap float64
-	// Log receives the output of all processes; nil drops it.
+	// EventLossRate is the fraction of cache events that engines drop.
+	EventLossRate float64
+	// Log receives the output of all processes; nil discards it.
 	Log io.Writer
-	// Homes makes each chain of the index have one home, as in a large fleet.
-	Homes bool
-	// StepTime of the engines.
+	// PartitionIndex gives each chain of the prefix index a single owner node
+	// instead of replicating the index on every node, as in a large fleet.
+	PartitionIndex bool
+	// StepTime is the step time of the engines.
 	StepTime time.Duration
 }
 
-// Node is one node's process and addresses.
+// Node holds the process and addresses of one node.
 type Node struct {
-	Process  *Process
-	Zone     string
-	Caller   string
-	Peer     string
-	Operator string
+	Process         *Process
+	Zone            string
+	CallerAddress   string
+	PeerAddress     string
+	OperatorAddress string
 }
 
-// Backend is one stand-in's process and address.
+// Backend holds the process and address of one stub server.
 type Backend struct {
 	Process *Process
 	Name    string
 	Address string
 }
 
-// Cluster is a running fleet.
+// Cluster is a set of running nodes with the stub services that they use.
 type Cluster struct {
 	config      Config
 	Declaration *configuration.Declaration
@@ -80,7 +81,8 @@
 	client      *http.Client
 }
 
-// Start starts everything and waits until every node is ready.
+// Start starts all processes, applies the declaration and waits until every node
+// is ready.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	cluster := &Cluster{config: config, client: &http.Client{Timeout: 10 * time.Second}}
 	if err := cluster.start(ctx); err != nil {
@@ -102,8 +104,8 @@
 	holders := []string{}
 	for index := range cluster.config.Nodes {
 		zone := copied.Zones[index%len(copied.Zones)].Name
-		cluster.Nodes = append(cluster.Nodes, &Node{Zone: zone, Caller: address.Free(), Peer: address.Free(), Operator: address.Free()})
-		holders = append(holders, cluster.Nodes[index].Peer)
+		cluster.Nodes = append(cluster.Nodes, &Node{Zone: zone, CallerAddress: address.Free(), PeerAddress: address.Free(), OperatorAddress: address.Free()})
+		holders = append(holders, cluster.Nodes[index].PeerAddress)
 	}
 	cluster.Declaration.Claims.Holders = nil
 	if len(holders) >= claim.HoldersPerKey {
@@ -114,7 +116,7 @@
 			return err
 		}
 	}
-	if err := cluster.await(ctx, func() bool { return cluster.get(cluster.Nodes[0].Operator, "/healthz") }); err != nil {
+	if err := cluster.await(ctx, func() bool { return cluster.returnsOK(cluster.Nodes[0].OperatorAddress, "/healthz") }); err != nil {
 		return err
 	}
 	if _, err := cluster.Apply(ctx, 0, cluster.Declaration, uuid.NewString()); err != nil {
@@ -128,14 +130,14 @@
 	cluster.Machines = &Backend{Name: "machines", Address: address.Free()}
 	cluster.Weights = &Backend{Name: "weights", Address: address.Free()}
 	var err error
-	if cluster.Weights.Process, err = start("weights", cluster.config.Log, "standin", "weights", "--address", cluster.Weights.Address,
+	if cluster.Weights.Process, err = startSelf("weights", cluster.config.Log, "standin", "weights", "--address", cluster.Weights.Address,
 		"--at-once", fmt.Sprint(cluster.Declaration.Pools[0].LoadsAtOnce)); err != nil {
 		return err
 	}
-	if cluster.KeyValue.Process, err = start("key-value", cluster.config.Log, "standin", "key-value", "--address", cluster.KeyValue.Address); err != nil {
+	if cluster.KeyValue.Process, err = startSelf("key-value", cluster.config.Log, "standin", "key-value", "--address", cluster.KeyValue.Address); err != nil {
 		return err
 	}
-	cluster.Machines.Process, err = start("machines", cluster.config.Log, "standin", "machines",
+	cluster.Machines.Process, err = startSelf("machines", cluster.config.Log, "standin", "machines",
 		"--address", cluster.Machines.Address, "--lag", cluster.config.MachineListLag.String())
 	return err
 }
@@ -153,7 +155,7 @@
 			backend := &Backend{Name: store.Name, Address: store.Address}
 			cluster.Stores = append(cluster.Stores, backend)
 			var err error
-			if backend.Process, err = start(store.Name, cluster.config.Log, "standin", "kept", "--address", store.Address); err != nil {
+			if backend.Process, err = startSelf(store.Name, cluster.config.Log, "standin", "kept", "--address", store.Address); err != nil {
 				return err
 			}
 		}
@@ -175,7 +177,7 @@
 			service.Servers[position].Address = address.Free()
 			backend := &Backend{Name: service.Servers[position].Name, Address: service.Servers[position].Address}
 			var err error
-			if backend.Process, err = start(backend.Name, cluster.config.Log, "standin", "plain", "--address", backend.Address); err != nil {
+			if backend.Process, err = startSelf(backend.Name, cluster.config.Log, "standin", "plain", "--address", backend.Address); err != nil {
 				return err
 			}
 			cluster.Servers = append(cluster.Servers, backend)
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// StartEngine starts, or starts again, an engine's process.
+// StartEngine starts or restarts the process of an engine.
 func (cluster *Cluster) StartEngine(backend *Backend) error {
 	weights := []string{}
 	for _, model := range cluster.Declaration.Models {
@@ -193,28 +195,28 @@
 	}
 	pool := cluster.config.Declaration.Pools[0]
 	var err error
-	backend.Process, err = start(backend.Name, cluster.config.Log, "standin", "engine",
+	backend.Process, err = startSelf(backend.Name, cluster.config.Log, "standin", "engine",
 		"--address", backend.Address,
 		"--weights", strings.Join(weights, ","),
 		"--block-bytes", fmt.Sprint(pool.BlockBytes),
 		"--prefill", fmt.Sprint(pool.PrefillTokensPerSecond),
 		"--step", cluster.config.StepTime.String(),
-		"--event-gap", fmt.Sprint(cluster.config.EventGap),
+		"--event-gap", fmt.Sprint(cluster.config.EventLossRate),
 		"--weight-store", cluster.Weights.Address)
 	return err
 }
 
-// StartNode starts, or starts again, a node's process.
+// StartNode starts or restarts the process of a node.
 func (cluster *Cluster) StartNode(index int) error {
 	node := cluster.Nodes[index]
-	arguments := []string{"node", "--zone", node.Zone, "--caller-address", node.Caller, "--peer-address", node.Peer,
-		"--operator-address", node.Operator, "--key-value-address", cluster.KeyValue.Address,
+	arguments := []string{"node", "--zone", node.Zone, "--caller-address", node.CallerAddress, "--peer-address", node.PeerAddress,
+		"--operator-address", node.OperatorAddress, "--key-value-address", cluster.KeyValue.Address,
 		"--machine-list-address", cluster.Machines.Address, "--bootstrap-digest", configuration.Digest(OperatorKey), "--drain-deadline", "60s"}
-	if cluster.config.Homes {
+	if cluster.config.PartitionIndex {
 		arguments = append(arguments, "--replicate-up-to", "0")
 	}
 	for _, other := range cluster.Nodes {
-		arguments = append(arguments, "--seed", other.Peer)
+		arguments = append(arguments, "--seed", other.PeerAddress)
 	}
 	if os.Getenv("CLOVERRAIL_FLEET_KEY") == "" {
 		if err := os.Setenv("CLOVERRAIL_FLEET_KEY", fleetKey); err != nil {
@@ -222,43 +224,43 @@
 		}
 	}
 	var err error
-	node.Process, err = start("node "+node.Peer, cluster.config.Log, arguments...)
+	node.Process, err = startSelf("node "+node.PeerAddress, cluster.config.Log, arguments...)
 	return err
 }
 
-// Apply puts a declaration in force through a node.
-func (cluster *Cluster) Apply(ctx context.Context, node int, declaration *configuration.Declaration, change string) (operator.ChangeAnswer, error) {
-	return Post[operator.ChangeAnswer](ctx, cluster, node, "apply", operator.ApplyRequest{ChangeID: change, File: "lab", Declaration: declaration})
+// Apply applies a declaration through a node.
+func (cluster *Cluster) Apply(ctx context.Context, node int, declaration *configuration.Declaration, changeID string) (operator.ChangeResponse, error) {
+	return Post[operator.ChangeResponse](ctx, cluster, node, "apply", operator.ApplyRequest{ChangeID: changeID, File: "lab", Declaration: declaration})
 }
 
-// Post sends an operator's message to a node.
+// Post sends a request to the operator API of a node.
 func Post[Answer any](ctx context.Context, cluster *Cluster, node int, path string, message any) (Answer, error) {
 	var answer Answer
-	var refusal operator.ErrorAnswer
-	request, err := sling.New().Post("http://"+cluster.Nodes[node].Operator+"/operator/"+path).
+	var errorBody operator.ErrorResponse
+	request, err := sling.New().Post("http://"+cluster.Nodes[node].OperatorAddress+"/operator/"+path).
 		Set("Authorization", "Bearer "+OperatorKey).BodyJSON(message).Request()
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
-	response, err := sling.New().Client(cluster.client).Do(request.WithContext(ctx), &answer, &refusal)
+	response, err := sling.New().Client(cluster.client).Do(request.WithContext(ctx), &answer, &errorBody)
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return answer, errors.Errorf("%s (%s, %s); %s", refusal.Problem, refusal.Kind, refusal.Outcome, refusal.Remedy)
+		return answer, errors.Errorf("%s (%s, %s); %s", errorBody.Problem, errorBody.Kind, errorBody.Outcome, errorBody.Remedy)
 	}
 	return answer, nil
 }
 
-// Status asks a node for its state.
-func (cluster *Cluster) Status(node int) (operator.StatusAnswer, error) {
-	var answer operator.StatusAnswer
-	_, err := sling.New().Client(cluster.client).Get("http://"+cluster.Nodes[node].Operator+"/operator/status").
+// Status queries the operator API of a node for its status.
+func (cluster *Cluster) Status(node int) (operator.StatusResponse, error) {
+	var answer operator.StatusResponse
+	_, err := sling.New().Client(cluster.client).Get("http://"+cluster.Nodes[node].OperatorAddress+"/operator/status").
 		Set("Authorization", "Bearer "+OperatorKey).ReceiveSuccess(&answer)
 	return answer, err
 }
 
-// Fetch reads a JSON value from a stand-in.
+// Fetch reads a JSON value from a stub server.
 func Fetch[Value any](cluster *Cluster, address, path string) (Value, error) {
 	var value Value
 	response, err := sling.New().Client(cluster.client).Get("http://" + address + path).ReceiveSuccess(&value)
@@ -268,7 +270,7 @@
 	return value, err
 }
 
-// Control sends a command to a stand-in.
+// Control sends a control command to a stub server.
 func (cluster *Cluster) Control(address, action string, body any) error {
 	call := sling.New().Client(cluster.client).Post("http://" + address + "/" + action)
 	if body != nil {
@@ -278,44 +280,44 @@
 	return errors.Trace(err)
 }
 
-// SetKeyValueFaults harms the key-value service.
+// SetKeyValueFaults sets the faults that the key-value service injects.
 func (cluster *Cluster) SetKeyValueFaults(faults kvstub.Faults) error {
 	return cluster.Control(cluster.KeyValue.Address, "control/faults", faults)
 }
 
-// SetMachine changes the machine list.
+// SetMachine changes one entry of the machine list.
 func (cluster *Cluster) SetMachine(machine machinestub.Machine) error {
 	return cluster.Control(cluster.Machines.Address, "machines", machine)
 }
 
-// AllReady reports whether every node serves.
+// AllReady reports whether every node accepts requests.
 func (cluster *Cluster) AllReady() bool {
 	for _, node := range cluster.Nodes {
-		if !cluster.get(node.Caller, "/readyz") {
+		if !cluster.returnsOK(node.CallerAddress, "/readyz") {
 			return false
 		}
 	}
 	return true
 }
 
-// Ready reports whether a node takes new work.
+// Ready reports whether a node accepts requests.
 func (cluster *Cluster) Ready(node int) bool {
-	return cluster.get(cluster.Nodes[node].Caller, "/readyz")
+	return cluster.returnsOK(cluster.Nodes[node].CallerAddress, "/readyz")
 }
 
-// Await polls until the condition holds.
+// await polls until the condition holds or readyTimeout has passed.
 func (cluster *Cluster) await(ctx context.Context, condition func() bool) error {
 	deadline := time.Now().Add(readyTimeout)
 	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return errors.Errorf("the fleet did not become ready in %s; the first node printed:\n%s", readyTimeout, cluster.Nodes[0].Process.Output())
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 	return nil
 }
 
-func (cluster *Cluster) get(address, path string) bool {
+func (cluster *Cluster) returnsOK(address, path string) bool {
 	response, err := cluster.client.Get("http://" + address + path)
 	if err != nil {
 		return false
@@ -324,7 +326,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Stop ends every process that this cluster started.
+// Stop kills every process that the cluster started.
 func (cluster *Cluster) Stop() {
 	processes := []*Process{}
 	for _, node := range cluster.Nodes {
@@ -342,14 +344,15 @@
 	}
 	for _, process := range processes {
 		if process != nil {
-			process.Wait(killWait)
+			process.Wait(killTimeout)
 		}
 	}
 }
 
-// Metric reads one metric without labels from a node, or 0.
+// Metric returns the value of a gauge without labels on a node, or 0 if it cannot
+// be read.
 func (cluster *Cluster) Metric(node int, name string) float64 {
-	response, err := cluster.client.Get("http://" + cluster.Nodes[node].Operator + "/metrics")
+	response, err := cluster.client.Get("http://" + cluster.Nodes[node].OperatorAddress + "/metrics")
 	if err != nil {
 		return 0
 	}
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -1,5 +1,5 @@
-// Package cluster starts a fleet and its stand-ins as separate processes on
-// loopback, and harms them on demand.
+// Package cluster runs nodes and stub services as separate processes on loopback
+// addresses and injects faults into them on request.
 package cluster
 
 import (
@@ -16,40 +16,40 @@
 	"github.com/juju/errors"
 )
 
-const killWait = 5 * time.Second
+const killTimeout = 5 * time.Second
 
-// Process is one child.
+// Process is a child process.
 type Process struct {
 	name    string
 	command *exec.Cmd
-	ended   chan struct{}
-	output  *tail
+	done    chan struct{}
+	output  *outputTail
 }
 
-// tail keeps the last output of a process for reports.
-type tail struct {
+// outputTail keeps the last maxTailBytes of a process's output for error messages.
+type outputTail struct {
 	mutex sync.Mutex
 	data  []byte
 	copy  io.Writer
 }
 
-const tailLength = 8192
+const maxTailBytes = 8192
 
-func (tail *tail) Write(data []byte) (int, error) {
-	tail.mutex.Lock()
-	defer tail.mutex.Unlock()
-	if tail.copy != nil {
-		_, _ = tail.copy.Write(data)
+func (outputTail *outputTail) Write(data []byte) (int, error) {
+	outputTail.mutex.Lock()
+	defer outputTail.mutex.Unlock()
+	if outputTail.copy != nil {
+		_, _ = outputTail.copy.Write(data)
 	}
-	tail.data = append(tail.data, data...)
-	if excess := len(tail.data) - tailLength; excess > 0 {
-		tail.data = bytes.Clone(tail.data[excess:])
+	outputTail.data = append(outputTail.data, data...)
+	if excess := len(outputTail.data) - maxTailBytes; excess > 0 {
+		outputTail.data = bytes.Clone(outputTail.data[excess:])
 	}
 	return len(data), nil
 }
 
-// start runs this program again with other arguments.
-func start(name string, output io.Writer, arguments ...string) (*Process, error) {
+// startSelf starts the running executable with other arguments.
+func startSelf(name string, output io.Writer, arguments ...string) (*Process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -57,10 +57,10 @@
 	return StartProgram(name, output, program, arguments...)
 }
 
-// StartProgram runs a program, which dies with this one. Output, which may be nil, gets a
-// copy of what it prints.
+// StartProgram starts a program that is killed when the current process dies. If output is
+// not nil, it receives a copy of what the program prints.
 func StartProgram(name string, output io.Writer, program string, arguments ...string) (*Process, error) {
-	process := &Process{name: name, command: exec.Command(program, arguments...), ended: make(chan struct{}), output: &tail{copy: output}}
+	process := &Process{name: name, command: exec.Command(program, arguments...), done: make(chan struct{}), output: &outputTail{copy: output}}
 	process.command.Stderr = process.output
 	process.command.Stdout = process.output
 	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -69,53 +69,53 @@
 	}
 	go func() {
 		_ = process.command.Wait()
-		close(process.ended)
+		close(process.done)
 	}()
 	return process, nil
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (process *Process) Running() bool {
 	select {
-	case <-process.ended:
+	case <-process.done:
 		return false
 	default:
 		return true
 	}
 }
 
-// Output is the end of what the process printed.
+// Output returns the last part of what the process printed.
 func (process *Process) Output() string {
 	process.output.mutex.Lock()
 	defer process.output.mutex.Unlock()
 	return string(process.output.data)
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process if it is running.
 func (process *Process) Signal(signal syscall.Signal) {
 	if process.Running() {
 		_ = process.command.Process.Signal(signal)
 	}
 }
 
-// Kill ends the process at once and waits for it.
+// Kill sends SIGKILL and waits for the process to exit.
 func (process *Process) Kill() {
 	process.Signal(syscall.SIGKILL)
-	process.Wait(killWait)
+	process.Wait(killTimeout)
 }
 
-// Wait reports whether the process ended in time.
-func (process *Process) Wait(limit time.Duration) bool {
+// Wait waits for the process to exit and reports whether it did within the timeout.
+func (process *Process) Wait(timeout time.Duration) bool {
 	select {
-	case <-process.ended:
+	case <-process.done:
 		return true
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// ResidentMemory is the process's resident set in bytes, or 0 when it cannot be
-// read.
+// ResidentMemory returns the resident set size of the process in bytes, or 0 if it
+// cannot be read.
 func (process *Process) ResidentMemory() int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.command.Process.Pid))
 	if err != nil {
--- a/internal/lab/enginemodel/cache.go
+++ b/internal/lab/enginemodel/cache.go
@@ -1,6 +1,6 @@
-// Package enginemodel models an inference engine: continuous batching, prefill
-// and decode cost, and a prefix cache of limited memory. It is a pure state
-// machine in the caller's time, used by the HTTP stand-in and by experiments.
+// Package enginemodel models an inference engine: continuous batching, prefill and
+// decode cost, and a prefix cache of limited capacity. It is a state machine whose
+// clock is supplied by the caller, shared by the HTTP stub and the simulations.
 package enginemodel
 
 import (
@@ -12,33 +12,33 @@
 )
 
 type block struct {
-	hash    prefix.Hash
-	parent  prefix.Hash
-	lastUse time.Time
-	pins    int
-	place   *list.Element
+	hash     prefix.Hash
+	parent   prefix.Hash
+	lastUsed time.Time
+	pins     int
+	element  *list.Element
 }
 
-// cache keeps blocks in order of use, most recent first. A chain is always
-// touched from its leaf to its root, so a parent is more recent than its
-// children and the least recent block is a leaf: eviction is leaf first.
+// cache is an LRU cache of blocks. A chain is always touched from its leaf to its
+// root, so a parent is more recently used than its children, the least recently used
+// block is a leaf, and blocks are evicted leaf first.
 type cache struct {
 	capacity    int
 	blocks      map[prefix.Hash]*block
-	order       *list.List
+	lru         *list.List
 	sequence    uint64
 	events      []engineapi.CacheEvent
 	evictionAge time.Duration
 }
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, blocks: map[prefix.Hash]*block{}, order: list.New()}
+	return &cache{capacity: capacity, blocks: map[prefix.Hash]*block{}, lru: list.New()}
 }
 
-// depth counts the leading blocks of the chain that are held.
+// depth returns the number of leading blocks of the chain that are cached.
 func (cache *cache) depth(chain []prefix.Hash) int {
 	for index, hash := range chain {
-		if _, held := cache.blocks[hash]; !held {
+		if _, cached := cache.blocks[hash]; !cached {
 			return index
 		}
 	}
@@ -47,38 +47,39 @@
 
 func (cache *cache) touch(chain []prefix.Hash, now time.Time) {
 	for index := len(chain) - 1; index >= 0; index-- {
-		if held, found := cache.blocks[chain[index]]; found {
-			held.lastUse = now
-			cache.order.MoveToFront(held.place)
+		if cached, found := cache.blocks[chain[index]]; found {
+			cached.lastUsed = now
+			cache.lru.MoveToFront(cached.element)
 		}
 	}
 }
 
-// pin keeps the held blocks of the chain from eviction; release undoes it.
+// pin protects the cached blocks of the chain from eviction; unpin reverts it.
 func (cache *cache) pin(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if held, found := cache.blocks[hash]; found {
-			held.pins++
+		if cached, found := cache.blocks[hash]; found {
+			cached.pins++
 		}
 	}
 }
 
-func (cache *cache) release(chain []prefix.Hash) {
+func (cache *cache) unpin(chain []prefix.Hash) {
 	for _, hash := range chain {
-		if held, found := cache.blocks[hash]; found && held.pins > 0 {
-			held.pins--
+		if cached, found := cache.blocks[hash]; found && cached.pins > 0 {
+			cached.pins--
 		}
 	}
 }
 
-// store adds a computed chain. When memory is full of pinned blocks the rest
-// of the chain is not cached. New blocks are pinned until they are released.
-func (cache *cache) store(chain []prefix.Hash, now time.Time) {
+// insert adds a computed chain. If all cached blocks are pinned and the cache is
+// full, the rest of the chain is not cached. New blocks stay pinned until unpin.
+func (cache *cache) insert(chain []prefix.Hash, now time.Time) {
 	cache.touch(chain, now)
-	// New blocks go in front of their parents; one more touch restores the order.
+	// New blocks are pushed in front of their parents; touching the chain again
+	// restores the order.
 	defer cache.touch(chain, now)
 	for index, hash := range chain {
-		if _, held := cache.blocks[hash]; held {
+		if _, cached := cache.blocks[hash]; cached {
 			continue
 		}
 		if len(cache.blocks) >= cache.capacity && !cache.evict(now) {
@@ -88,22 +89,22 @@
 		if index > 0 {
 			parent = chain[index-1]
 		}
-		added := &block{hash: hash, parent: parent, lastUse: now, pins: 1}
-		added.place = cache.order.PushFront(added)
+		added := &block{hash: hash, parent: parent, lastUsed: now, pins: 1}
+		added.element = cache.lru.PushFront(added)
 		cache.blocks[hash] = added
 		cache.publish(engineapi.CacheEvent{Kind: engineapi.BlockStored, Block: hash, Parent: parent})
 	}
 }
 
 func (cache *cache) evict(now time.Time) bool {
-	for place := cache.order.Back(); place != nil; place = place.Prev() {
-		oldest := place.Value.(*block)
+	for element := cache.lru.Back(); element != nil; element = element.Prev() {
+		oldest := element.Value.(*block)
 		if oldest.pins > 0 {
 			continue
 		}
-		cache.order.Remove(place)
+		cache.lru.Remove(element)
 		delete(cache.blocks, oldest.hash)
-		cache.evictionAge = now.Sub(oldest.lastUse)
+		cache.evictionAge = now.Sub(oldest.lastUsed)
 		cache.publish(engineapi.CacheEvent{Kind: engineapi.BlockEvicted, Block: oldest.hash, Parent: oldest.parent})
 		return true
 	}
@@ -116,11 +117,11 @@
 	cache.events = append(cache.events, event)
 }
 
-// snapshot lists the blocks, parents before children.
+// snapshot returns the blocks, parents before children.
 func (cache *cache) snapshot() (sequence uint64, blocks []engineapi.CacheEvent) {
-	for place := cache.order.Front(); place != nil; place = place.Next() {
-		held := place.Value.(*block)
-		blocks = append(blocks, engineapi.CacheEvent{Kind: engineapi.BlockStored, Block: held.hash, Parent: held.parent})
+	for element := cache.lru.Front(); element != nil; element = element.Next() {
+		cached := element.Value.(*block)
+		blocks = append(blocks, engineapi.CacheEvent{Kind: engineapi.BlockStored, Block: cached.hash, Parent: cached.parent})
 	}
 	return cache.sequence, blocks
 }
--- a/internal/lab/enginestub/work.go
+++ b/internal/lab/enginestub/completions.go
@@ -15,13 +15,13 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-func notStarted(writer http.ResponseWriter, status int, reason string) {
-	writer.Header().Set(engineapi.HeaderRefused, reason)
+func rejectNotStarted(writer http.ResponseWriter, status int, reason string) {
+	writer.Header().Set(engineapi.HeaderNotStarted, reason)
 	http.Error(writer, reason, status)
 }
 
-func (server *Server) complete(writer http.ResponseWriter, request *http.Request) {
-	message, ok := standin.Read[engineapi.CompletionRequest](writer, request)
+func (server *Server) serveCompletion(writer http.ResponseWriter, request *http.Request) {
+	message, ok := standin.ReadJSON[engineapi.CompletionRequest](writer, request)
 	if !ok {
 		return
 	}
@@ -29,30 +29,30 @@
 	if attempt == "" {
 		attempt = uuid.NewString()
 	}
-	work := server.prepare(&message)
+	prepared := server.prepare(&message)
 	server.mutex.Lock()
 	version := server.weights[message.Model]
-	refusal := server.refusal(request, version)
-	if server.mute {
+	reason := server.rejectionReason(request, version)
+	if server.unresponsive {
 		server.mutex.Unlock()
 		<-request.Context().Done()
 		return
 	}
-	if refusal != "" {
+	if reason != "" {
 		server.mutex.Unlock()
-		notStarted(writer, http.StatusConflict, refusal)
+		rejectNotStarted(writer, http.StatusConflict, reason)
 		return
 	}
-	opened := server.start(attempt, version, &message, work)
+	opened := server.startStream(attempt, version, &message, prepared)
 	server.mutex.Unlock()
-	server.send(writer, request, opened, opened.base)
+	server.writeStream(writer, request, opened, opened.firstOffset)
 }
 
-func (server *Server) refusal(request *http.Request, version string) string {
+func (server *Server) rejectionReason(request *http.Request, version string) string {
 	epoch := request.Header.Get(engineapi.HeaderEpoch)
 	weights := request.Header.Get(engineapi.HeaderWeights)
 	switch {
-	case server.leaving:
+	case server.draining:
 		return "leaving"
 	case version == "":
 		return "model not loaded"
@@ -65,38 +65,40 @@
 	}
 }
 
-// work is what a request asks of the engine.
-type work struct {
-	// prompt of the caller, and with what another engine has added to it.
+// preparedRequest is a decoded completion request with its block chain.
+type preparedRequest struct {
+	// prompt is the prompt of the caller; input also includes the text that another
+	// engine has already generated.
 	prompt []byte
-	text   []byte
+	input  []byte
 	chain  []prefix.Hash
-	// version that the import below was checked for.
+	// version is the model version for which importBlocks was determined.
 	version      string
 	importBlocks int
 }
 
-// prepare reads a request and fetches what it may import. Nothing starts here.
-func (server *Server) prepare(message *engineapi.CompletionRequest) work {
-	prepared := work{prompt: message.PromptText()}
-	prepared.text = prepared.prompt
+// prepare computes the block chain of a request and fetches the blocks that it may
+// import. It does not start the request.
+func (server *Server) prepare(message *engineapi.CompletionRequest) preparedRequest {
+	prepared := preparedRequest{prompt: message.PromptText()}
+	prepared.input = prepared.prompt
 	if message.Continue != nil {
-		prepared.text = append(bytes.Clone(prepared.prompt), message.Continue.Text...)
+		prepared.input = append(bytes.Clone(prepared.prompt), message.Continue.Text...)
 	}
-	prepared.chain = prefix.Chain(message.CacheSalt, prepared.text, server.config.BlockBytes)
+	prepared.chain = prefix.Chain(message.CacheSalt, prepared.input, server.config.BlockBytes)
 	server.mutex.Lock()
 	prepared.version = server.weights[message.Model]
 	server.mutex.Unlock()
-	prepared.importBlocks = importable(message, prepared.version, prepared.chain)
+	prepared.importBlocks = importableBlocks(message, prepared.version, prepared.chain)
 	return prepared
 }
 
-func (server *Server) start(attempt, version string, message *engineapi.CompletionRequest, prepared work) *stream {
+func (server *Server) startStream(attempt, version string, message *engineapi.CompletionRequest, prepared preparedRequest) *stream {
 	opened := newStream(attempt, server.epoch, version, prepared.prompt, message)
 	opened.chain = prepared.chain
 	tokens := message.OutputLimit(defaultOutputTokens)
 	if message.Continue != nil {
-		opened.base = message.Continue.Offset
+		opened.firstOffset = message.Continue.Offset
 		tokens -= message.Continue.Offset
 	}
 	if prepared.version != version {
@@ -109,20 +111,20 @@
 	server.engine.Submit(enginemodel.Request{
 		ID:           attempt,
 		Chain:        prepared.chain,
-		PromptTokens: len(prepared.text)/bytesPerToken + 1,
+		PromptTokens: len(prepared.input)/bytesPerToken + 1,
 		ImportBlocks: prepared.importBlocks,
 		OutputTokens: max(1, tokens),
 		Priority:     message.Priority,
 	})
-	server.changed.Broadcast()
+	server.cond.Broadcast()
 	return opened
 }
 
-// send writes a stream's events from an offset on until its end, a crash, or
-// the caller's departure. Only one writer need be connected at a time.
-func (server *Server) send(writer http.ResponseWriter, request *http.Request, source *stream, next int) {
+// writeStream writes the events of a stream from an offset on until the stream ends, the
+// engine crashes, or the client disconnects. It supports one client at a time.
+func (server *Server) writeStream(writer http.ResponseWriter, request *http.Request, source *stream, next int) {
 	server.mutex.Lock()
-	crashes := server.crashes
+	crashed := server.crashed
 	server.mutex.Unlock()
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set(engineapi.HeaderAttempt, source.attempt)
@@ -131,7 +133,7 @@
 	controller := http.NewResponseController(writer)
 	_ = controller.Flush()
 	for {
-		events, done, changed := source.after(next)
+		events, done, changed := source.eventsFrom(next)
 		for _, data := range events {
 			if _, err := fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", next, data); err != nil {
 				return
@@ -148,25 +150,25 @@
 		case <-changed:
 		case <-request.Context().Done():
 			return
-		case <-crashes:
+		case <-crashed:
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func (server *Server) resume(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) serveResume(writer http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	source, found := server.streams[request.PathValue("attempt")]
 	server.mutex.Unlock()
-	after, err := strconv.Atoi(request.Header.Get(engineapi.HeaderLastEvent))
+	after, err := strconv.Atoi(request.Header.Get(engineapi.HeaderLastEventID))
 	if !found || err != nil {
 		http.Error(writer, "no such stream", http.StatusNotFound)
 		return
 	}
-	server.send(writer, request, source, after+1)
+	server.writeStream(writer, request, source, after+1)
 }
 
-func (server *Server) cancel(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) serveCancel(writer http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	attempt := request.PathValue("attempt")
--- a/internal/lab/enginestub/side.go
+++ b/internal/lab/enginestub/control.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/weightstub"
 )
 
-// fetchWeights takes as long as the store does; a failing store is asked again.
+// fetchWeights fetches weights from the store and retries until it succeeds.
 func (server *Server) fetchWeights() {
 	for {
 		response, err := http.Post("http://"+server.config.WeightStore+weightstub.Path, "", nil)
@@ -20,50 +20,50 @@
 			_ = response.Body.Close()
 			return
 		}
-		time.Sleep(weightRetry)
+		time.Sleep(weightRetryDelay)
 	}
 }
 
-// weightRetry is the pause before a failing store is asked again.
-const weightRetry = 100 * time.Millisecond
+// weightRetryDelay is the delay before a failed fetch of weights is retried.
+const weightRetryDelay = 100 * time.Millisecond
 
-// loaded ends a load; a later order for the model makes an earlier one moot.
-func (server *Server) loaded(order engineapi.Order) {
+// finishLoad completes a load. Its version is used only if no later order has arrived.
+func (server *Server) finishLoad(order engineapi.Order) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.loads--
+	server.activeLoads--
 	if order.Token >= server.orderToken {
 		server.weights[order.Model] = order.Version
 	}
 }
 
-func (server *Server) status(writer http.ResponseWriter, _ *http.Request) {
+func (server *Server) serveStatus(writer http.ResponseWriter, _ *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	standin.Answer(writer, server.account())
+	standin.WriteJSON(writer, server.currentStatus())
 }
 
-func (server *Server) account() engineapi.Status {
-	return engineapi.Status{Epoch: server.epoch, Weights: maps.Clone(server.weights), Loading: server.loads > 0, Leaving: server.leaving, Load: server.engine.Load()}
+func (server *Server) currentStatus() engineapi.Status {
+	return engineapi.Status{Epoch: server.epoch, Weights: maps.Clone(server.weights), Loading: server.activeLoads > 0, Leaving: server.draining, Load: server.engine.Load()}
 }
 
-func (server *Server) cacheEvents(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
 	server.events.Serve(writer, request, func() engineapi.Status {
 		server.mutex.Lock()
 		defer server.mutex.Unlock()
-		return server.account()
+		return server.currentStatus()
 	})
 }
 
-func (server *Server) snapshot(writer http.ResponseWriter, _ *http.Request) {
+func (server *Server) serveSnapshot(writer http.ResponseWriter, _ *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	sequence, blocks := server.engine.Snapshot()
-	standin.Answer(writer, engineapi.Snapshot{Epoch: server.epoch, Sequence: sequence, Blocks: blocks})
+	standin.WriteJSON(writer, engineapi.Snapshot{Epoch: server.epoch, Sequence: sequence, Blocks: blocks})
 }
 
-func (server *Server) order(writer http.ResponseWriter, request *http.Request) {
-	order, ok := standin.Read[engineapi.Order](writer, request)
+func (server *Server) serveOrder(writer http.ResponseWriter, request *http.Request) {
+	order, ok := standin.ReadJSON[engineapi.Order](writer, request)
 	if !ok {
 		return
 	}
@@ -76,23 +76,23 @@
 	server.orderToken = order.Token
 	if server.weights[order.Model] != order.Version {
 		delete(server.weights, order.Model)
-		server.loads++
+		server.activeLoads++
 		go func() {
 			server.fetchWeights()
-			server.loaded(order)
+			server.finishLoad(order)
 		}()
 	}
-	standin.Answer(writer, order)
+	standin.WriteJSON(writer, order)
 }
 
-func (server *Server) control(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) serveControl(writer http.ResponseWriter, request *http.Request) {
 	switch action := request.PathValue("action"); action {
 	case "crash":
 		server.Crash()
 	case "leave":
-		server.SetLeaving(true)
+		server.SetDraining(true)
 	case "stay":
-		server.SetLeaving(false)
+		server.SetDraining(false)
 	case "freeze":
 		server.SetFrozen(true)
 	case "thaw":
@@ -102,6 +102,6 @@
 	}
 }
 
-func (server *Server) log(writer http.ResponseWriter, _ *http.Request) {
-	standin.Answer(writer, server.Executions())
+func (server *Server) serveExecutions(writer http.ResponseWriter, _ *http.Request) {
+	standin.WriteJSON(writer, server.Executions())
 }
--- a/internal/lab/enginestub/server.go
+++ b/internal/lab/enginestub/server.go
@@ -1,5 +1,6 @@
-// Package enginestub stands in for an inference engine over HTTP. It drives the
-// engine model in real time and can crash, lose events, leave and be fenced.
+// Package enginestub implements a stub inference engine over HTTP. It runs the engine
+// model in real time and can simulate crashes, lost cache events, draining and fenced
+// orders.
 package enginestub
 
 import (
@@ -20,74 +21,74 @@
 	bytesPerToken       = 4
 )
 
-// Config sets up the stand-in.
+// Config holds the settings of the stub.
 type Config struct {
 	Model enginemodel.Config
-	// BlockBytes is the prompt text of one block.
+	// BlockBytes is the number of prompt bytes in a block.
 	BlockBytes int
-	// Weights is the loaded version of each model.
+	// Weights maps each model to its loaded version.
 	Weights map[string]string
-	// EventGap is the share of cache events that are lost.
-	EventGap float64
-	// WeightStore is the address new weights are fetched from.
+	// EventLossRate is the fraction of cache events that are dropped.
+	EventLossRate float64
+	// WeightStore is the address from which new weights are fetched.
 	WeightStore string
 }
 
-// Execution is one line of the engine's own log: a request that it started.
+// Execution is an entry of the engine's log of started requests.
 type Execution struct {
 	Attempt string `json:"attempt"`
 	User    string `json:"user"`
 	Salt    string `json:"salt"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// At is when the engine started it.
+	// At is when the engine started the request.
 	At time.Time `json:"at"`
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
 
-	mutex      sync.Mutex
-	changed    *sync.Cond
-	engine     *enginemodel.Engine
-	epoch      string
-	weights    map[string]string
-	leaving    bool
-	loads      int
-	frozen     bool
-	mute       bool
-	orderToken int64
-	streams    map[string]*stream
-	events     eventlog.Log
-	executions []Execution
-	crashes    chan struct{}
+	mutex        sync.Mutex
+	cond         *sync.Cond
+	engine       *enginemodel.Engine
+	epoch        string
+	weights      map[string]string
+	draining     bool
+	activeLoads  int
+	frozen       bool
+	unresponsive bool
+	orderToken   int64
+	streams      map[string]*stream
+	events       eventlog.Log
+	executions   []Execution
+	crashed      chan struct{}
 }
 
-// New starts the stand-in's engine.
+// New returns a stub and starts its engine.
 func New(config Config) *Server {
 	server := &Server{config: config, mux: http.NewServeMux(), weights: map[string]string{}}
 	for model, version := range config.Weights {
 		server.weights[model] = version
 	}
-	server.changed = sync.NewCond(&server.mutex)
+	server.cond = sync.NewCond(&server.mutex)
 	server.reset()
-	server.mux.HandleFunc("POST /v1/completions", server.complete)
-	server.mux.HandleFunc("POST /v1/chat/completions", server.complete)
-	server.mux.HandleFunc("GET "+engineapi.PathStreams+"{attempt}", server.resume)
-	server.mux.HandleFunc("DELETE "+engineapi.PathStreams+"{attempt}", server.cancel)
-	server.mux.HandleFunc("GET "+engineapi.PathStatus, server.status)
-	server.mux.HandleFunc("GET "+engineapi.PathEvents, server.cacheEvents)
-	server.mux.HandleFunc("GET "+engineapi.PathSnapshot, server.snapshot)
-	server.mux.HandleFunc("POST "+engineapi.PathOrders, server.order)
-	server.mux.HandleFunc("POST /control/{action}", server.control)
-	server.mux.HandleFunc("GET /control/log", server.log)
+	server.mux.HandleFunc("POST /v1/completions", server.serveCompletion)
+	server.mux.HandleFunc("POST /v1/chat/completions", server.serveCompletion)
+	server.mux.HandleFunc("GET "+engineapi.PathStreams+"{attempt}", server.serveResume)
+	server.mux.HandleFunc("DELETE "+engineapi.PathStreams+"{attempt}", server.serveCancel)
+	server.mux.HandleFunc("GET "+engineapi.PathStatus, server.serveStatus)
+	server.mux.HandleFunc("GET "+engineapi.PathEvents, server.serveCacheEvents)
+	server.mux.HandleFunc("GET "+engineapi.PathSnapshot, server.serveSnapshot)
+	server.mux.HandleFunc("POST "+engineapi.PathOrders, server.serveOrder)
+	server.mux.HandleFunc("POST /control/{action}", server.serveControl)
+	server.mux.HandleFunc("GET /control/log", server.serveExecutions)
 	go server.run()
 	return server
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the engine API and the control endpoints.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
@@ -97,48 +98,48 @@
 	server.epoch = uuid.NewString()
 	server.streams = map[string]*stream{}
 	server.events.Clear()
-	if server.crashes != nil {
-		close(server.crashes)
+	if server.crashed != nil {
+		close(server.crashed)
 	}
-	server.crashes = make(chan struct{})
+	server.crashed = make(chan struct{})
 }
 
-// Crash loses everything and comes back empty under the same address.
+// Crash simulates a restart at the same address: all state is lost.
 func (server *Server) Crash() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.reset()
-	server.changed.Broadcast()
+	server.cond.Broadcast()
 }
 
-// SetLeaving makes the engine refuse new work.
-func (server *Server) SetLeaving(leaving bool) {
+// SetDraining makes the engine reject new requests.
+func (server *Server) SetDraining(draining bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.leaving = leaving
+	server.draining = draining
 }
 
-// SetWeights loads another version at once.
+// SetWeights switches a model to another version without loading time.
 func (server *Server) SetWeights(model, version string) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.weights[model] = version
 }
 
-// SetFrozen stops or continues the engine's steps.
+// SetFrozen suspends or resumes the engine's steps.
 func (server *Server) SetFrozen(frozen bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.frozen = frozen
-	server.changed.Broadcast()
+	server.cond.Broadcast()
 }
 
-// SetMute makes the engine take dispatches without ever answering them, while
-// its other endpoints work.
-func (server *Server) SetMute(mute bool) {
+// SetUnresponsive makes the engine accept completion requests without ever responding,
+// while its other endpoints work.
+func (server *Server) SetUnresponsive(unresponsive bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.mute = mute
+	server.unresponsive = unresponsive
 }
 
 // Executions returns the log of started requests.
@@ -148,41 +149,41 @@
 	return append([]Execution(nil), server.executions...)
 }
 
-// run steps the engine in real time.
+// run executes the engine's steps in real time.
 func (server *Server) run() {
 	for {
 		server.mutex.Lock()
 		for server.engine.Idle() || server.frozen {
-			server.changed.Wait()
+			server.cond.Wait()
 		}
-		stepped := server.engine
-		elapsed, outputs := stepped.Step(time.Now())
-		server.collectEvents()
+		engine := server.engine
+		elapsed, outputs := engine.Step(time.Now())
+		server.publishEvents()
 		server.mutex.Unlock()
 		time.Sleep(elapsed)
 		server.mutex.Lock()
-		if stepped == server.engine {
+		if engine == server.engine {
 			for _, output := range outputs {
 				server.deliver(output)
 			}
 		}
-		server.changed.Broadcast()
+		server.cond.Broadcast()
 		server.mutex.Unlock()
 	}
 }
 
 func (server *Server) deliver(output enginemodel.Output) {
 	if target, found := server.streams[output.ID]; found {
-		target.add(output)
+		target.addOutput(output)
 		if transfer := target.message.Transfer; transfer != nil && output.Offset == 0 && len(target.chain) > 0 {
-			go export(transfer.Store, identityOf(target.message.CacheSalt, target.version), target.chain)
+			go exportBlocks(transfer.Store, blockIdentity(target.message.CacheSalt, target.version), target.chain)
 		}
 	}
 }
 
-func (server *Server) collectEvents() {
+func (server *Server) publishEvents() {
 	for _, event := range server.engine.TakeEvents() {
-		if rand.Float64() >= server.config.EventGap {
+		if rand.Float64() >= server.config.EventLossRate {
 			server.events.Append(event)
 		}
 	}
--- a/internal/lab/enginestub/stream.go
+++ b/internal/lab/enginestub/stream.go
@@ -13,18 +13,19 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// stream keeps the events of one attempt, so that a cut connection can resume.
+// stream keeps the events of one attempt so that a client can resume it after its
+// connection breaks.
 type stream struct {
-	attempt string
-	epoch   string
-	version string
-	message *engineapi.CompletionRequest
-	content uint64
-	prompt  int
-	chain   []prefix.Hash
-	created int64
-	// base is the offset of the first event; lower ones came from another engine.
-	base int
+	attempt      string
+	epoch        string
+	version      string
+	message      *engineapi.CompletionRequest
+	contentHash  uint64
+	promptTokens int
+	chain        []prefix.Hash
+	created      int64
+	// firstOffset is the offset of the first event; another engine produced those below.
+	firstOffset int
 
 	mutex   sync.Mutex
 	events  [][]byte
@@ -34,43 +35,43 @@
 
 func newStream(attempt, epoch, version string, prompt []byte, message *engineapi.CompletionRequest) *stream {
 	return &stream{
-		attempt: attempt,
-		epoch:   epoch,
-		version: version,
-		message: message,
-		content: xxhash.Sum64(prompt) ^ uint64(message.Seed),
-		prompt:  len(prompt)/bytesPerToken + 1,
-		created: time.Now().Unix(),
-		changed: make(chan struct{}),
+		attempt:      attempt,
+		epoch:        epoch,
+		version:      version,
+		message:      message,
+		contentHash:  xxhash.Sum64(prompt) ^ uint64(message.Seed),
+		promptTokens: len(prompt)/bytesPerToken + 1,
+		created:      time.Now().Unix(),
+		changed:      make(chan struct{}),
 	}
 }
 
-// Token is the text at an offset. It depends on the prompt and the seed alone,
-// as with seeded sampling, so any engine continues a stream alike.
-func Token(content uint64, offset int) string {
-	return fmt.Sprintf(" w%d", (content>>(offset%48))%9973+uint64(offset))
+// Token returns the token at an offset. As with seeded sampling, it depends only on the
+// prompt and the seed, so every engine continues a stream with the same text.
+func Token(contentHash uint64, offset int) string {
+	return fmt.Sprintf(" w%d", (contentHash>>(offset%48))%9973+uint64(offset))
 }
 
-// after returns the events from an offset on, and a channel that closes when
-// there are more.
-func (stream *stream) after(next int) (events [][]byte, done bool, changed chan struct{}) {
+// eventsFrom returns the events from an offset on and a channel that is closed when
+// further events arrive.
+func (stream *stream) eventsFrom(next int) (events [][]byte, done bool, changed chan struct{}) {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	first := max(0, next-stream.base)
+	first := max(0, next-stream.firstOffset)
 	if first < len(stream.events) {
 		events = stream.events[first:]
 	}
 	return events, stream.done, stream.changed
 }
 
-func (stream *stream) add(output enginemodel.Output) {
+func (stream *stream) addOutput(output enginemodel.Output) {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	offset := stream.base + output.Offset
-	stream.append(stream.chunk(offset, output.Done))
+	offset := stream.firstOffset + output.Offset
+	stream.append(stream.textChunk(offset, output.Done))
 	if output.Done {
 		if stream.message.StreamOptions != nil && stream.message.StreamOptions.IncludeUsage {
-			stream.append(stream.usage(offset+1, output))
+			stream.append(stream.usageChunk(offset+1, output))
 		}
 		stream.events = append(stream.events, []byte("[DONE]"))
 		stream.done = true
@@ -84,7 +85,7 @@
 	stream.events = append(stream.events, data)
 }
 
-func (stream *stream) header() engineapi.Chunk {
+func (stream *stream) newChunk() engineapi.Chunk {
 	chunk := engineapi.Chunk{ID: stream.attempt, Object: "text_completion", Created: stream.created, Model: stream.message.Model, Choices: []engineapi.Choice{}}
 	if len(stream.message.Messages) > 0 {
 		chunk.Object = "chat.completion.chunk"
@@ -92,8 +93,8 @@
 	return chunk
 }
 
-func (stream *stream) chunk(offset int, last bool) engineapi.Chunk {
-	text := Token(stream.content, offset)
+func (stream *stream) textChunk(offset int, last bool) engineapi.Chunk {
+	text := Token(stream.contentHash, offset)
 	choice := engineapi.Choice{}
 	if len(stream.message.Messages) > 0 {
 		choice.Delta = &engineapi.Delta{Content: &text}
@@ -107,18 +108,18 @@
 		reason := "length"
 		choice.FinishReason = &reason
 	}
-	chunk := stream.header()
+	chunk := stream.newChunk()
 	chunk.Choices = append(chunk.Choices, choice)
 	return chunk
 }
 
-func (stream *stream) usage(completed int, output enginemodel.Output) engineapi.Chunk {
-	chunk := stream.header()
+func (stream *stream) usageChunk(completed int, output enginemodel.Output) engineapi.Chunk {
+	chunk := stream.newChunk()
 	chunk.Usage = &engineapi.Usage{
-		PromptTokens:     stream.prompt,
+		PromptTokens:     stream.promptTokens,
 		CompletionTokens: completed,
-		TotalTokens:      stream.prompt + completed,
-		Details:          &engineapi.UsageDetails{CachedTokens: max(0, stream.prompt-output.RecomputedTokens)},
+		TotalTokens:      stream.promptTokens + completed,
+		Details:          &engineapi.UsageDetails{CachedTokens: max(0, stream.promptTokens-output.RecomputedTokens)},
 	}
 	return chunk
 }
--- a/internal/lab/enginestub/transfer.go
+++ b/internal/lab/enginestub/transfer.go
@@ -15,42 +15,43 @@
 
 var transferClient = &http.Client{Timeout: transferTimeout}
 
-// identityOf labels kept blocks with what they were computed for.
-func identityOf(salt, version string) string {
-	return fmt.Sprintf("%016x", uint64(prefix.KeyOf(salt+"@"+version)))
+// blockIdentity returns the label under which blocks are stored. It identifies the
+// cache salt and the model version that they were computed with.
+func blockIdentity(salt, version string) string {
+	return fmt.Sprintf("%016x", uint64(prefix.HashName(salt+"@"+version)))
 }
 
-// importable asks the store for the blocks that the request may import. It
-// counts the leading ones whose identity is the request's own; a store that
-// fails, or answers with other blocks, only costs the recomputation.
-func importable(message *engineapi.CompletionRequest, version string, chain []prefix.Hash) int {
+// importableBlocks fetches the blocks that the request may import from the prefix store and
+// returns the number of leading ones whose identity matches the request. If the store
+// fails or returns other blocks, they are recomputed.
+func importableBlocks(message *engineapi.CompletionRequest, version string, chain []prefix.Hash) int {
 	if message.Transfer == nil || message.Transfer.ImportBlocks == 0 {
 		return 0
 	}
-	wanted := engineapi.KeptBlocks{}
+	request := engineapi.StoredBlocks{}
 	for _, block := range chain[:min(len(chain), message.Transfer.ImportBlocks)] {
-		wanted.Blocks = append(wanted.Blocks, engineapi.KeptBlock{Block: block})
+		request.Blocks = append(request.Blocks, engineapi.StoredBlock{Block: block})
 	}
-	var found engineapi.KeptBlocks
-	call := sling.New().Client(transferClient).Post("http://" + message.Transfer.Store + engineapi.PathKeptFetch).BodyJSON(wanted)
-	if _, err := call.ReceiveSuccess(&found); err != nil {
+	var response engineapi.StoredBlocks
+	call := sling.New().Client(transferClient).Post("http://" + message.Transfer.Store + engineapi.PathStoreFetch).BodyJSON(request)
+	if _, err := call.ReceiveSuccess(&response); err != nil {
 		return 0
 	}
-	identity := identityOf(message.CacheSalt, version)
-	for index, block := range found.Blocks {
+	identity := blockIdentity(message.CacheSalt, version)
+	for index, block := range response.Blocks {
 		if index >= len(chain) || block.Block != chain[index] || block.Identity != identity {
 			return index
 		}
 	}
-	return len(found.Blocks)
+	return len(response.Blocks)
 }
 
-// export gives the blocks of a computed prompt to the store.
-func export(store, identity string, chain []prefix.Hash) {
-	message := engineapi.KeptBlocks{}
+// exportBlocks saves the blocks of a computed prompt to the prefix store.
+func exportBlocks(store, identity string, chain []prefix.Hash) {
+	message := engineapi.StoredBlocks{}
 	for _, block := range chain {
-		message.Blocks = append(message.Blocks, engineapi.KeptBlock{Block: block, Identity: identity})
+		message.Blocks = append(message.Blocks, engineapi.StoredBlock{Block: block, Identity: identity})
 	}
-	// A lost export costs a later recomputation, nothing else.
-	_, _ = sling.New().Client(transferClient).Post("http://" + store + engineapi.PathKeptStore).BodyJSON(message).ReceiveSuccess(nil)
+	// Errors are ignored: blocks that are not saved are recomputed later.
+	_, _ = sling.New().Client(transferClient).Post("http://" + store + engineapi.PathStoreSave).BodyJSON(message).ReceiveSuccess(nil)
 }
--- a/internal/lab/eventlog/log.go
+++ b/internal/lab/eventlog/log.go
@@ -1,5 +1,5 @@
-// Package eventlog serves the cache events of a stand-in as a stream, from a
-// bounded memory: readers that are too far behind see a gap.
+// Package eventlog streams the cache events of a stub server from a bounded log. Readers
+// that fall too far behind see a gap in the sequence numbers.
 package eventlog
 
 import (
@@ -12,32 +12,32 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-const length = 16_384
+const maxEvents = 16_384
 
-// Log keeps the last events. It is safe for concurrent use.
+// Log keeps the last maxEvents events. It is safe for concurrent use.
 type Log struct {
 	mutex  sync.Mutex
 	events []engineapi.CacheEvent
 }
 
-// Append adds events.
+// Append adds events and drops the oldest if the log is full.
 func (log *Log) Append(events ...engineapi.CacheEvent) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	log.events = append(log.events, events...)
-	if excess := len(log.events) - length; excess > 0 {
+	if excess := len(log.events) - maxEvents; excess > 0 {
 		log.events = append([]engineapi.CacheEvent(nil), log.events[excess:]...)
 	}
 }
 
-// Clear forgets all events, as after a crash.
+// Clear removes all events, as after a crash.
 func (log *Log) Clear() {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	log.events = nil
 }
 
-func (log *Log) after(sequence uint64) []engineapi.CacheEvent {
+func (log *Log) eventsAfter(sequence uint64) []engineapi.CacheEvent {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	found := []engineapi.CacheEvent{}
@@ -49,31 +49,31 @@
 	return found
 }
 
-// Serve streams batches to one reader until it leaves or a new epoch begins.
+// Serve streams batches of events to a reader until it disconnects or the epoch changes.
 func (log *Log) Serve(writer http.ResponseWriter, request *http.Request, status func() engineapi.Status) {
 	sequence, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	writer.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(writer)
 	ticker := time.NewTicker(engineapi.BatchInterval)
 	defer ticker.Stop()
-	told := ""
+	lastKey := ""
 	epoch := status().Epoch
-	for last := (time.Time{}); ; {
+	for lastSent := (time.Time{}); ; {
 		current := status()
 		if current.Epoch != epoch {
 			return
 		}
-		events := log.after(sequence)
-		description := describe(current)
-		if len(events) > 0 || description != told || time.Since(last) >= engineapi.HeartbeatInterval {
+		events := log.eventsAfter(sequence)
+		key := statusKey(current)
+		if len(events) > 0 || key != lastKey || time.Since(lastSent) >= engineapi.HeartbeatInterval {
 			batch := engineapi.EventBatch{Epoch: epoch, Runs: engineapi.Pack(events), Load: current.Load}
-			if description != told {
+			if key != lastKey {
 				batch.Status = &current
 			}
 			if encoder.Encode(batch) != nil || http.NewResponseController(writer).Flush() != nil {
 				return
 			}
-			told, last = description, time.Now()
+			lastKey, lastSent = key, time.Now()
 			if len(events) > 0 {
 				sequence = events[len(events)-1].Sequence
 			}
@@ -86,8 +86,9 @@
 	}
 }
 
-// describe is what of a status is worth telling at once.
-func describe(status engineapi.Status) string {
+// statusKey encodes the part of a status whose changes are sent without delay, which
+// excludes the load.
+func statusKey(status engineapi.Status) string {
 	status.Load = engineapi.Load{}
 	data, _ := json.Marshal(status)
 	return string(data)
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -18,13 +18,13 @@
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// labelRotation, in radians, keeps the policies' names apart.
+	// labelRotation, in radians, keeps the labels of policies from overlapping.
 	labelRotation = 0.5
-	// curvePoints of each distribution are drawn.
+	// curvePoints is the number of points in the curve of a distribution.
 	curvePoints = 200
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.Profile}}, seed {{.Seed}}</title>
 <style>body{font-family:sans-serif;margin:2em}td,th{padding:.3em .8em;text-align:right}</style>
 <h1>Routing policies, {{.Profile}}, seed {{.Seed}}</h1>
@@ -35,7 +35,7 @@
 <p><img src="first-token.png" alt="distribution of the time to first token"></p>
 `))
 
-// WritePage writes the report as a page with plots into a folder.
+// WritePage writes the report as an HTML page with plots into a directory.
 func WritePage(directory string, report Report) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return errors.Annotate(err, "name a folder that can be written")
@@ -51,7 +51,7 @@
 		return errors.Trace(err)
 	}
 	defer file.Close()
-	return errors.Trace(page.Execute(file, report))
+	return errors.Trace(pageTemplate.Execute(file, report))
 }
 
 func drawRecomputed(path string, report Report) error {
@@ -87,9 +87,9 @@
 	for _, policy := range report.Policies {
 		curve := plotter.XYs{}
 		for point := 1; point < curvePoints; point++ {
-			share := float64(point) / curvePoints
-			value := policy.FirstTokens[int(share*float64(len(policy.FirstTokens)))]
-			curve = append(curve, plotter.XY{X: float64(value) / float64(time.Millisecond), Y: share})
+			fraction := float64(point) / curvePoints
+			value := policy.FirstTokenTimes[int(fraction*float64(len(policy.FirstTokenTimes)))]
+			curve = append(curve, plotter.XY{X: float64(value) / float64(time.Millisecond), Y: fraction})
 		}
 		lines = append(lines, policy.Name, curve)
 	}
--- a/internal/lab/experiment/policy.go
+++ b/internal/lab/experiment/policy.go
@@ -7,27 +7,27 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// policy chooses an engine for a request as one node sees the fleet.
+// policy chooses an engine for a request from one node's view of the fleet.
 type policy interface {
 	name() string
-	// perfect policies see the engines' true state at once.
-	perfect() bool
-	// imports says that the policy takes blocks from the kept-KV store.
-	imports() bool
+	// perfectInformation reports whether the policy sees the true state of the engines.
+	perfectInformation() bool
+	// importsBlocks reports whether the policy imports blocks from the prefix store.
+	importsBlocks() bool
 	choose(node int, request *routing.Request, candidates []routing.Candidate) int
 }
 
 // PolicyNames lists the policies in the order in which they are reported.
-// Policies whose name ends in +import use the kept-KV store; cloverrail and the
-// oracle do too, cloverrail-no-import does not.
+// Policies whose name ends in +import use the prefix store, as do cloverrail and oracle;
+// cloverrail-no-import does not.
 var PolicyNames = []string{"cloverrail", "cloverrail-no-import", "random", "round-robin", "least-loaded", "rendezvous", "rendezvous+import", "longest-prefix", "oracle"}
 
 func newPolicy(name string, profile Profile, seed uint64) policy {
 	switch name {
 	case "cloverrail", "cloverrail-no-import":
-		return &scheduled{title: name, importing: name == "cloverrail", scheduler: routing.NewScheduler()}
+		return &schedulerPolicy{label: name, importing: name == "cloverrail", scheduler: routing.NewScheduler()}
 	case "oracle":
-		return &scheduled{title: name, importing: true, oracle: true, scheduler: routing.NewScheduler()}
+		return &schedulerPolicy{label: name, importing: true, oracle: true, scheduler: routing.NewScheduler()}
 	case "random":
 		return &randomPolicy{random: rand.New(rand.NewPCG(seed, 21))}
 	case "round-robin":
@@ -43,37 +43,37 @@
 	}
 }
 
-// scheduled is the product's own scheduler, with a node's knowledge or, as the
-// oracle, with perfect knowledge.
-type scheduled struct {
-	title     string
+// schedulerPolicy uses cloverrail's scheduler with a node's view of the fleet or, as the
+// oracle, with perfect information.
+type schedulerPolicy struct {
+	label     string
 	oracle    bool
 	importing bool
 	scheduler *routing.Scheduler
 }
 
-func (policy *scheduled) name() string  { return policy.title }
-func (policy *scheduled) perfect() bool { return policy.oracle }
-func (policy *scheduled) imports() bool { return policy.importing }
+func (policy *schedulerPolicy) name() string             { return policy.label }
+func (policy *schedulerPolicy) perfectInformation() bool { return policy.oracle }
+func (policy *schedulerPolicy) importsBlocks() bool      { return policy.importing }
 
-func (policy *scheduled) choose(_ int, request *routing.Request, candidates []routing.Candidate) int {
+func (policy *schedulerPolicy) choose(_ int, request *routing.Request, candidates []routing.Candidate) int {
 	return policy.scheduler.Schedule(request, candidates).Index
 }
 
 type randomPolicy struct{ random *rand.Rand }
 
-func (*randomPolicy) name() string  { return "random" }
-func (*randomPolicy) perfect() bool { return false }
-func (*randomPolicy) imports() bool { return false }
+func (*randomPolicy) name() string             { return "random" }
+func (*randomPolicy) perfectInformation() bool { return false }
+func (*randomPolicy) importsBlocks() bool      { return false }
 func (policy *randomPolicy) choose(_ int, _ *routing.Request, candidates []routing.Candidate) int {
 	return policy.random.IntN(len(candidates))
 }
 
 type roundRobin struct{ next []int }
 
-func (*roundRobin) name() string  { return "round-robin" }
-func (*roundRobin) perfect() bool { return false }
-func (*roundRobin) imports() bool { return false }
+func (*roundRobin) name() string             { return "round-robin" }
+func (*roundRobin) perfectInformation() bool { return false }
+func (*roundRobin) importsBlocks() bool      { return false }
 func (policy *roundRobin) choose(node int, _ *routing.Request, candidates []routing.Candidate) int {
 	policy.next[node]++
 	return (policy.next[node] + node) % len(candidates)
@@ -81,11 +81,11 @@
 
 type leastLoaded struct{}
 
-func (leastLoaded) name() string  { return "least-loaded" }
-func (leastLoaded) perfect() bool { return false }
-func (leastLoaded) imports() bool { return false }
+func (leastLoaded) name() string             { return "least-loaded" }
+func (leastLoaded) perfectInformation() bool { return false }
+func (leastLoaded) importsBlocks() bool      { return false }
 func (leastLoaded) choose(_ int, _ *routing.Request, candidates []routing.Candidate) int {
-	return best(candidates, func(candidate *routing.Candidate) float64 { return -float64(candidate.Running) })
+	return bestCandidate(candidates, func(candidate *routing.Candidate) float64 { return -float64(candidate.Running) })
 }
 
 type rendezvous struct{ importing bool }
@@ -96,23 +96,24 @@
 	}
 	return "rendezvous"
 }
-func (rendezvous) perfect() bool        { return false }
-func (policy rendezvous) imports() bool { return policy.importing }
+func (rendezvous) perfectInformation() bool   { return false }
+func (policy rendezvous) importsBlocks() bool { return policy.importing }
 func (rendezvous) choose(_ int, _ *routing.Request, candidates []routing.Candidate) int {
-	return best(candidates, func(*routing.Candidate) float64 { return 0 })
+	return bestCandidate(candidates, func(*routing.Candidate) float64 { return 0 })
 }
 
 type longestPrefix struct{}
 
-func (longestPrefix) name() string  { return "longest-prefix" }
-func (longestPrefix) perfect() bool { return false }
-func (longestPrefix) imports() bool { return false }
+func (longestPrefix) name() string             { return "longest-prefix" }
+func (longestPrefix) perfectInformation() bool { return false }
+func (longestPrefix) importsBlocks() bool      { return false }
 func (longestPrefix) choose(_ int, _ *routing.Request, candidates []routing.Candidate) int {
-	return best(candidates, func(candidate *routing.Candidate) float64 { return float64(candidate.HitBlocks) })
+	return bestCandidate(candidates, func(candidate *routing.Candidate) float64 { return float64(candidate.HitBlocks) })
 }
 
-// best returns the candidate of the highest value, ties by rendezvous.
-func best(candidates []routing.Candidate, value func(*routing.Candidate) float64) int {
+// bestCandidate returns the index of the candidate with the highest value and breaks ties
+// by rendezvous hashing.
+func bestCandidate(candidates []routing.Candidate, value func(*routing.Candidate) float64) int {
 	chosen := 0
 	for index := range candidates {
 		first, second := value(&candidates[index]), value(&candidates[chosen])
@@ -123,8 +124,9 @@
 	return chosen
 }
 
-// keyOf is the rendezvous key of a prompt. Baselines that have no index hash
-// deeper than the tenant's rules, as a careful operator would set them up.
-func keyOf(chain []prefix.Hash, depth int) prefix.Hash {
+// rendezvousKey returns the rendezvous key of a prompt: the hash of its first depth
+// blocks. Baselines without an index use a depth beyond the tenant's system prompt, as in
+// a well-configured deployment.
+func rendezvousKey(chain []prefix.Hash, depth int) prefix.Hash {
 	return chain[min(len(chain), depth)-1]
 }
--- a/internal/lab/experiment/profile.go
+++ b/internal/lab/experiment/profile.go
@@ -1,6 +1,6 @@
-// Package experiment compares routing policies in virtual time: the decision
-// packages of a node, the engine model of the stand-ins, and workloads with long
-// nested prefixes. The same seed gives the same figures.
+// Package experiment compares routing policies in a discrete-event simulation. It runs
+// the routing packages of a node against the engine model of the stubs, with workloads of
+// long nested prefixes. The same seed gives the same results.
 package experiment
 
 import (
@@ -11,123 +11,126 @@
 	"github.com/cloverrail/cloverrail/internal/lab/enginemodel"
 )
 
-// Profile is one operator's fleet and workload.
+// Profile describes a fleet and its workload.
 type Profile struct {
 	Name    string
 	Engines int
 	Nodes   int
 	Engine  enginemodel.Config
-	// OneWay is the latency between zones.
-	OneWay     time.Duration
-	WaitWeight float64
-	WorkWeight float64
-	// Duration of arrivals, and their mean rate a second.
+	// OneWayDelay is the one-way network latency between zones.
+	OneWayDelay time.Duration
+	WaitWeight  float64
+	WorkWeight  float64
+	// Requests arrive for Duration at a mean Rate per second.
 	Duration time.Duration
 	Rate     float64
-	// Bursts multiply the rate for a while, at regular intervals.
+	// Every BurstEvery, the rate is multiplied by BurstFactor for BurstLength.
 	BurstEvery  time.Duration
 	BurstLength time.Duration
 	BurstFactor float64
-	// ShiftEvery is how often other prefixes become hot, without warning.
+	// ShiftEvery is the interval at which the popularity of prefixes changes abruptly.
 	ShiftEvery time.Duration
-	// CrashEvery is how often an engine comes back empty.
+	// CrashEvery is the interval at which an engine crashes and loses its cache.
 	CrashEvery time.Duration
 	Workload   Workload
-	// LoadView says how nodes learn of engines' loads.
-	LoadView LoadView
-	// KeptBlocks is the capacity of the kept-KV store.
-	KeptBlocks int
-	// EventLag is the most that cache events and load reports are late, and
-	// EventGap the share of events lost.
-	EventLag time.Duration
-	EventGap float64
+	// LoadPropagation determines how nodes learn the load of engines.
+	LoadPropagation LoadPropagation
+	// PrefixStoreBlocks is the capacity of the prefix store in blocks.
+	PrefixStoreBlocks int
+	// MaxEventDelay is the maximum delay of cache events and load reports,
+	// EventLossRate the fraction of cache events that are lost.
+	MaxEventDelay time.Duration
+	EventLossRate float64
 }
 
-// LoadView is a way for nodes to learn of engines' loads.
-type LoadView string
+// LoadPropagation is a way for nodes to learn the load of engines.
+type LoadPropagation string
 
-// The ways, as fleets of different sizes can afford them.
+// The cost of propagation limits which mode suits a fleet of a given size.
 const (
-	// LoadsToAll sends every report to every node, as in a small fleet.
-	LoadsToAll LoadView = "all"
-	// LoadsByLookup brings only the loads of engines that hold some of the prompt,
-	// with the index's answer.
-	LoadsByLookup LoadView = "lookup"
+	// LoadsBroadcast sends every report to every node, as in a small fleet.
+	LoadsBroadcast LoadPropagation = "all"
+	// LoadsWithLookup returns the loads of the engines that cache part of a prompt with
+	// the index lookup, and no others.
+	LoadsWithLookup LoadPropagation = "lookup"
 )
 
-// Workload sets the shape of prompts.
+// Workload describes the distribution of prompts.
 type Workload struct {
 	Tenants int
-	// Skew of the sizes of tenants and of the heat of stories (Zipf exponents).
-	TenantSkew float64
-	StorySkew  float64
-	// Stories are the long shared contexts of one tenant: campaign histories, or
-	// catalogues of stations.
-	Stories int
-	// RuleBlocks all requests of a tenant share; StoryBlocks the requests of one
-	// story, at least and at most; BranchBlocks those of one line of it.
-	RuleBlocks   int
-	StoryLeast   int
-	StoryMost    int
-	Branches     int
-	BranchBlocks int
-	// HeavyShare of requests read a whole story; the others only the rules.
-	HeavyShare  float64
-	HeavyOutput int
-	LightOutput int
-	// OwnTokens of each prompt are shared with nobody.
-	OwnTokens int
+	// TenantSkew and ContextSkew are the Zipf exponents of the request rates of tenants
+	// and of the popularity of their contexts.
+	TenantSkew  float64
+	ContextSkew float64
+	// Contexts is the number of long shared contexts of a tenant, such as campaign
+	// histories or station catalogs.
+	Contexts int
+	// All requests of a tenant share SystemPromptBlocks. Those with the same context
+	// share MinContextBlocks to MaxContextBlocks more, and those on the same branch of
+	// it another BranchBlocks.
+	SystemPromptBlocks int
+	MinContextBlocks   int
+	MaxContextBlocks   int
+	Branches           int
+	BranchBlocks       int
+	// LongPromptShare is the fraction of requests whose prompt includes a context; the
+	// prompts of the others consist of the system prompt.
+	LongPromptShare   float64
+	LongPromptOutput  int
+	ShortPromptOutput int
+	// UniqueTokens is the number of tokens of each prompt that no other prompt shares.
+	UniqueTokens int
 }
 
-// Profiles lists the profiles by name.
+// Profiles returns all profiles.
 func Profiles() []Profile {
 	kuusisto := Profile{
-		Name: "kuusisto", Engines: 18, Nodes: 6, Engine: enginemodel.Standard(6*time.Millisecond, 20_000),
-		OneWay: 1500 * time.Microsecond, WaitWeight: 0.3, WorkWeight: 1,
+		Name: "kuusisto", Engines: 18, Nodes: 6, Engine: enginemodel.StandardConfig(6*time.Millisecond, 20_000),
+		OneWayDelay: 1500 * time.Microsecond, WaitWeight: 0.3, WorkWeight: 1,
 		Duration: 5 * time.Minute, Rate: 26,
 		BurstEvery: 100 * time.Second, BurstLength: 25 * time.Second, BurstFactor: 1.6,
 		ShiftEvery: 80 * time.Second, CrashEvery: 70 * time.Second,
-		EventLag: 300 * time.Millisecond, EventGap: 0.01,
+		MaxEventDelay: 300 * time.Millisecond, EventLossRate: 0.01,
 		Workload: Workload{
-			Tenants: 8, TenantSkew: 0.9, Stories: 40, StorySkew: 0.9, RuleBlocks: 3, StoryLeast: 8, StoryMost: 18,
-			Branches: 3, BranchBlocks: 2, HeavyShare: 0.7, HeavyOutput: 40, LightOutput: 24, OwnTokens: 200,
+			Tenants: 8, TenantSkew: 0.9, Contexts: 40, ContextSkew: 0.9, SystemPromptBlocks: 3, MinContextBlocks: 8, MaxContextBlocks: 18,
+			Branches: 3, BranchBlocks: 2, LongPromptShare: 0.7, LongPromptOutput: 40, ShortPromptOutput: 24, UniqueTokens: 200,
 		},
 	}
 	kuusisto.Engine.CacheBlocks = 200
-	kuusisto.KeptBlocks = 20_000
-	kuusisto.LoadView = LoadsToAll
+	kuusisto.PrefixStoreBlocks = 20_000
+	kuusisto.LoadPropagation = LoadsBroadcast
 	dakar := Profile{
-		Name: "dakar", Engines: 12, Nodes: 4, Engine: enginemodel.Standard(4*time.Millisecond, 30_000),
-		OneWay: 900 * time.Microsecond, WaitWeight: 1, WorkWeight: 1,
+		Name: "dakar", Engines: 12, Nodes: 4, Engine: enginemodel.StandardConfig(4*time.Millisecond, 30_000),
+		OneWayDelay: 900 * time.Microsecond, WaitWeight: 1, WorkWeight: 1,
 		Duration: 5 * time.Minute, Rate: 40,
 		BurstEvery: 90 * time.Second, BurstLength: 20 * time.Second, BurstFactor: 2,
 		ShiftEvery: 60 * time.Second, CrashEvery: 80 * time.Second,
-		EventLag: 300 * time.Millisecond, EventGap: 0.01,
+		MaxEventDelay: 300 * time.Millisecond, EventLossRate: 0.01,
 		Workload: Workload{
-			Tenants: 8, TenantSkew: 0.9, Stories: 30, StorySkew: 1.0, RuleBlocks: 2, StoryLeast: 4, StoryMost: 10,
-			Branches: 4, BranchBlocks: 1, HeavyShare: 0.6, HeavyOutput: 40, LightOutput: 16, OwnTokens: 150,
+			Tenants: 8, TenantSkew: 0.9, Contexts: 30, ContextSkew: 1.0, SystemPromptBlocks: 2, MinContextBlocks: 4, MaxContextBlocks: 10,
+			Branches: 4, BranchBlocks: 1, LongPromptShare: 0.6, LongPromptOutput: 40, ShortPromptOutput: 16, UniqueTokens: 150,
 		},
 	}
 	dakar.Engine.CacheBlocks = 160
-	dakar.KeptBlocks = 10_000
-	dakar.LoadView = LoadsToAll
-	return []Profile{kuusisto, dakar, plan()}
+	dakar.PrefixStoreBlocks = 10_000
+	dakar.LoadPropagation = LoadsBroadcast
+	return []Profile{kuusisto, dakar, planProfile()}
 }
 
-// plan is one of 31 models at the size designed for: 23 servers of eight
-// accelerators, asked by all 340 nodes, each of which sees a request for the model
-// only every three seconds.
-func plan() Profile {
+// planProfile returns the profile of one of 31 models at the target size of a fleet: 23
+// servers of eight accelerators and 340 nodes, each of which receives a request for the
+// model only every three seconds.
+func planProfile() Profile {
 	profile := Profile{
-		Name: "plan", Engines: 23, Nodes: 340, Engine: enginemodel.Standard(6*time.Millisecond, 200_000),
-		OneWay: 1500 * time.Microsecond, WaitWeight: 1, WorkWeight: 1,
+		Name: "plan", Engines: 23, Nodes: 340, Engine: enginemodel.StandardConfig(6*time.Millisecond, 200_000),
+		OneWayDelay: 1500 * time.Microsecond, WaitWeight: 1, WorkWeight: 1,
 		Duration: time.Minute, Rate: 123,
 		BurstEvery: 30 * time.Second, BurstLength: 8 * time.Second, BurstFactor: 1.3,
 		ShiftEvery: 25 * time.Second, CrashEvery: 20 * time.Second,
-		EventLag: 300 * time.Millisecond, EventGap: 0.01, KeptBlocks: 1_000_000, LoadView: LoadsByLookup,
+		MaxEventDelay: 300 * time.Millisecond, EventLossRate: 0.01, PrefixStoreBlocks: 1_000_000, LoadPropagation: LoadsWithLookup,
 		Workload: Workload{
-			Tenants: 100, TenantSkew: 0.7, Stories: 10, StorySkew: 0.9, RuleBlocks: 8, StoryLeast: 20, StoryMost: 80,
-			Branches: 4, BranchBlocks: 8, HeavyShare: 0.7, HeavyOutput: 480, LightOutput: 200, OwnTokens: 400,
+			Tenants: 100, TenantSkew: 0.7, Contexts: 10, ContextSkew: 0.9, SystemPromptBlocks: 8, MinContextBlocks: 20, MaxContextBlocks: 80,
+			Branches: 4, BranchBlocks: 8, LongPromptShare: 0.7, LongPromptOutput: 480, ShortPromptOutput: 200, UniqueTokens: 400,
 		},
 	}
 	profile.Engine.CacheBlocks = 52_777
@@ -136,8 +139,8 @@
 	return profile
 }
 
-// ProfileOf finds a profile.
-func ProfileOf(name string) (Profile, error) {
+// FindProfile returns the profile with the given name.
+func FindProfile(name string) (Profile, error) {
 	for _, profile := range Profiles() {
 		if profile.Name == name {
 			return profile, nil
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// PolicyReport is the figures of one policy.
+// PolicyReport holds the results of one policy.
 type PolicyReport struct {
 	Name                 string  `json:"name"`
 	Requests             int     `json:"requests"`
@@ -16,29 +16,29 @@
 	FirstTokenP50        float64 `json:"ttft_p50_ms"`
 	FirstTokenP95        float64 `json:"ttft_p95_ms"`
 	FirstTokenP99        float64 `json:"ttft_p99_ms"`
-	BetweenTokensP95     float64 `json:"tbt_p95_ms"`
+	InterTokenP95        float64 `json:"tbt_p95_ms"`
 	Refused              int     `json:"refused"`
-	// ImportedTokens came from the kept-KV store.
+	// ImportedTokens is the number of prompt tokens imported from the prefix store.
 	ImportedTokens int `json:"imported_tokens"`
-	// FirstTokens are sorted times, for plots.
-	FirstTokens []time.Duration `json:"-"`
+	// FirstTokenTimes are the times to first token in ascending order, for plots.
+	FirstTokenTimes []time.Duration `json:"-"`
 }
 
-// Report is the figures of one run.
+// Report holds the results of one run.
 type Report struct {
 	Profile  string         `json:"profile"`
 	Seed     uint64         `json:"seed"`
 	Policies []PolicyReport `json:"policies"`
 }
 
-// Run compares policies on the same workload. Each policy runs by itself, so
-// they may run side by side without changing each other's figures.
+// Run compares policies on the same workload. The simulations share no state, so running
+// them concurrently does not affect their results.
 func Run(profile Profile, names []string, seed uint64) Report {
 	report := Report{Profile: profile.Name, Seed: seed, Policies: make([]PolicyReport, len(names))}
 	var done sync.WaitGroup
 	for index, name := range names {
 		done.Go(func() {
-			requests, crashes := arrivals(profile, seed)
+			requests, crashes := generateWorkload(profile, seed)
 			result := newSimulation(profile, newPolicy(name, profile, seed), seed).run(requests, crashes)
 			report.Policies[index] = summarize(name, result)
 		})
@@ -59,33 +59,33 @@
 }
 
 func summarize(name string, result result) PolicyReport {
-	sort.Slice(result.firstTokens, func(i, j int) bool { return result.firstTokens[i] < result.firstTokens[j] })
-	sort.Slice(result.betweenTimes, func(i, j int) bool { return result.betweenTimes[i] < result.betweenTimes[j] })
+	sort.Slice(result.firstTokenTimes, func(i, j int) bool { return result.firstTokenTimes[i] < result.firstTokenTimes[j] })
+	sort.Slice(result.interTokenTimes, func(i, j int) bool { return result.interTokenTimes[i] < result.interTokenTimes[j] })
 	return PolicyReport{
 		Name:             name,
 		Requests:         result.completed,
 		HitRate:          round(1 - float64(result.recomputed)/float64(max(1, result.promptTokens))),
 		RecomputedTokens: result.recomputed,
-		FirstTokenP50:    quantile(result.firstTokens, 0.50),
-		FirstTokenP95:    quantile(result.firstTokens, 0.95),
-		FirstTokenP99:    quantile(result.firstTokens, 0.99),
-		BetweenTokensP95: quantile(result.betweenTimes, 0.95),
+		FirstTokenP50:    quantile(result.firstTokenTimes, 0.50),
+		FirstTokenP95:    quantile(result.firstTokenTimes, 0.95),
+		FirstTokenP99:    quantile(result.firstTokenTimes, 0.99),
+		InterTokenP95:    quantile(result.interTokenTimes, 0.95),
 		Refused:          result.refused,
 		ImportedTokens:   result.imported,
-		FirstTokens:      result.firstTokens,
+		FirstTokenTimes:  result.firstTokenTimes,
 	}
 }
 
-// quantile returns milliseconds.
-func quantile(sorted []time.Duration, share float64) float64 {
+// quantile returns a quantile of sorted durations in milliseconds.
+func quantile(sorted []time.Duration, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	index := min(len(sorted)-1, int(share*float64(len(sorted))))
+	index := min(len(sorted)-1, int(fraction*float64(len(sorted))))
 	return round(float64(sorted[index]) / float64(time.Millisecond))
 }
 
-// round keeps four decimals, so that figures read well and compare equal.
+// round rounds to four decimals, so that results are readable and comparable.
 func round(value float64) float64 {
 	return float64(int64(value*10_000+0.5)) / 10_000
 }
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -1,5 +1,5 @@
-// Package faults harms a running fleet under load and checks the whole history
-// against what must always hold.
+// Package faults injects faults into a running fleet under load and checks the recorded
+// history against the guarantees of the system.
 package faults
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// Config sets up a run.
+// Config holds the settings of a run.
 type Config struct {
 	Cluster  *cluster.Cluster
 	Target   load.Target
@@ -28,70 +28,71 @@
 	Output   io.Writer
 }
 
-// harm is an interval in which a node could not be expected to serve.
-type harm struct {
+// disruption is an interval in which a node is not expected to serve requests.
+type disruption struct {
 	node  int
 	from  time.Time
 	until time.Time
 }
 
-// departure is an interval in which an engine must get nothing new.
-type departure struct {
+// drainInterval is an interval in which an engine must receive no new requests.
+type drainInterval struct {
 	engine string
 	from   time.Time
 	until  time.Time
 }
 
-// change is an accepted change of the configuration.
+// change is an accepted configuration change.
 type change struct {
-	id       string
-	revision int64
-	at       time.Time
-	// reached is when the last node that could be expected to had it in force.
-	reached time.Time
+	id         string
+	revision   int64
+	acceptedAt time.Time
+	// propagatedAt is when the last node that is not disrupted had applied the change.
+	propagatedAt time.Time
 }
 
-// restart is one start of a node's process until its first token.
+// restart is the interval from the start of a node's process to its first token.
 type restart struct {
 	elapsed time.Duration
-	// tries tells what each request before was answered.
-	tries []string
+	// attempts describes the result of each request that the node was sent.
+	attempts []string
 }
 
-// run is the state of one run.
+// run is the state of a run.
 type run struct {
 	config    Config
 	cluster   *cluster.Cluster
 	random    *rand.Rand
 	generator *load.Generator
 
-	mutex      sync.Mutex
-	harms      []harm
-	departures []departure
-	changes    []change
-	// refused are changes that were said not to be in force.
-	refused    []string
-	restarts   []restart
-	violations []string
-	executions []enginestub.Execution
-	outage     bool
-	unready    []atomic.Bool
+	mutex       sync.Mutex
+	disruptions []disruption
+	drains      []drainInterval
+	changes     []change
+	// rejectedChanges holds the IDs of the changes that were rejected as conflicts.
+	rejectedChanges []string
+	restarts        []restart
+	violations      []string
+	executions      []enginestub.Execution
+	outage          bool
+	unready         []atomic.Bool
 }
 
 const (
-	nodeFreeze    = 4 * time.Second
-	engineFreeze  = 2 * time.Second
-	outageLength  = 4 * time.Second
-	settleTime    = 6 * time.Second
-	leaveGrace    = 2 * time.Second
-	reachLimit    = 3 * time.Second
-	forever       = 24 * time.Hour
-	restartPause  = 300 * time.Millisecond
-	betweenFaults = 700 * time.Millisecond
-	pollPause     = 50 * time.Millisecond
+	nodeFreezeDuration   = 4 * time.Second
+	engineFreezeDuration = 2 * time.Second
+	outageDuration       = 4 * time.Second
+	settleTime           = 6 * time.Second
+	drainGrace           = 2 * time.Second
+	propagationLimit     = 3 * time.Second
+	forever              = 24 * time.Hour
+	restartDelay         = 300 * time.Millisecond
+	faultInterval        = 700 * time.Millisecond
+	pollInterval         = 50 * time.Millisecond
 )
 
-// Run harms the cluster for the duration and returns the verdicts.
+// Run injects faults into the cluster for the configured duration and returns the
+// verdicts.
 func Run(ctx context.Context, config Config) []Verdict {
 	run := &run{
 		config: config, cluster: config.Cluster,
@@ -103,20 +104,20 @@
 	defer stop()
 	var done sync.WaitGroup
 	go run.watchReadiness(loading)
-	run.callers(loading, &done)
+	run.startCallers(loading, &done)
 	monitoring, stopMonitor := context.WithCancel(ctx)
 	done.Go(func() { run.watchRevisions(monitoring) })
-	run.harmUntil(loading)
-	run.heal(ctx)
+	run.injectFaults(loading)
+	run.clearFaults(ctx)
 	time.Sleep(settleTime)
 	stopMonitor()
 	done.Wait()
-	run.collectAll()
-	return run.verdicts()
+	run.collectAllExecutions()
+	return run.checkAll()
 }
 
-func (run *run) callers(ctx context.Context, done *sync.WaitGroup) {
-	kinds := []load.Kind{load.Streamed, load.Whole, load.Once, load.Streamed}
+func (run *run) startCallers(ctx context.Context, done *sync.WaitGroup) {
+	kinds := []load.Kind{load.Streaming, load.NonStreaming, load.AtMostOnce, load.Streaming}
 	for caller := range run.config.Callers {
 		done.Go(func() {
 			for turn := caller; ctx.Err() == nil; turn++ {
@@ -126,20 +127,20 @@
 					run.generator.Duplicate(background, []int{first, second, first})
 					continue
 				}
-				if turn%11 == 0 && run.generator.Again(background, run.readyNode(turn)) {
+				if turn%11 == 0 && run.generator.Replay(background, run.readyNode(turn)) {
 					continue
 				}
 				record := run.generator.Request(background, kinds[turn%len(kinds)], run.readyNode(turn))
 				if record.Status != 200 {
-					time.Sleep(pollPause)
+					time.Sleep(pollInterval)
 				}
 			}
 		})
 	}
 }
 
-// readyNode is the next node whose readiness is up, as a load balancer would
-// have it; without any, all get requests.
+// readyNode returns the next node that reports itself ready, as a load balancer does. If
+// none is ready, it returns the next node.
 func (run *run) readyNode(turn int) int {
 	nodes := len(run.cluster.Nodes)
 	for offset := range nodes {
@@ -150,18 +151,19 @@
 	return turn % nodes
 }
 
-// watchReadiness polls every node's readiness.
+// watchReadiness polls the readiness of every node.
 func (run *run) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for node := range run.cluster.Nodes {
 			run.unready[node].Store(!run.cluster.Ready(node))
 		}
-		pause.For(ctx, pollPause)
+		pause.For(ctx, pollInterval)
 	}
 }
 
-// harmUntil draws one fault after another from the seed.
-func (run *run) harmUntil(ctx context.Context) {
+// injectFaults injects one fault after another until the context ends, in an order that
+// the seed determines.
+func (run *run) injectFaults(ctx context.Context) {
 	faults := []struct {
 		name string
 		do   func(context.Context)
@@ -169,39 +171,39 @@
 		{"kill a node", run.killNode},
 		{"stop a node as planned", run.stopNode},
 		{"freeze a node", run.freezeNode},
-		{"restart all nodes at once", run.herd},
+		{"restart all nodes at once", run.restartAllNodes},
 		{"crash an engine under its address", run.crashEngine},
 		{"kill an engine", run.killEngine},
 		{"freeze an engine", run.freezeEngine},
-		{"an engine leaves and comes back", run.leaveEngine},
+		{"an engine leaves and comes back", run.drainEngine},
 		{"key-value service outage", run.keyValueOutage},
-		{"key-value service loses answers", run.keyValueLoses},
-		{"operators race", run.race},
-		{"a server answers nothing", run.cutAnswers},
+		{"key-value service loses answers", run.keyValueDropsResponses},
+		{"operators race", run.raceOperators},
+		{"a server answers nothing", run.dropResponse},
 	}
 	order := run.random.Perm(len(faults))
 	for index := 0; ctx.Err() == nil; index++ {
 		fault := faults[order[index%len(order)]]
 		fmt.Fprintf(run.config.Output, "  %s: %s\n", time.Now().Format("15:04:05.0"), fault.name)
 		fault.do(ctx)
-		pause.For(ctx, betweenFaults)
+		pause.For(ctx, faultInterval)
 	}
 }
 
-func (run *run) note(format string, values ...any) {
+func (run *run) recordViolation(format string, values ...any) {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
 	run.violations = append(run.violations, fmt.Sprintf(format, values...))
 }
 
-// collect keeps an engine's log, which dies with its process.
-func (run *run) collect(engine *cluster.Backend) {
+// collectExecutions saves the log of an engine, which is lost when its process ends.
+func (run *run) collectExecutions(engine *cluster.Backend) {
 	log, err := cluster.Fetch[[]enginestub.Execution](run.cluster, engine.Address, "/control/log")
 	if err != nil {
 		return
 	}
 	for index := range log {
-		// The attempt is followed by its engine's name from here on.
+		// The name of the engine is appended to the attempt's ID.
 		log[index].Attempt += "@" + engine.Name
 	}
 	run.mutex.Lock()
@@ -209,9 +211,9 @@
 	run.executions = append(run.executions, log...)
 }
 
-func (run *run) collectAll() {
+func (run *run) collectAllExecutions() {
 	for _, engine := range run.cluster.Engines {
-		run.collect(engine)
+		run.collectExecutions(engine)
 	}
 }
 
@@ -220,7 +222,7 @@
 	for _, server := range run.cluster.Servers {
 		log, err := cluster.Fetch[[]plainstub.Execution](run.cluster, server.Address, "/control/log")
 		if err != nil {
-			run.note("a server's log cannot be read: %v", err)
+			run.recordViolation("a server's log cannot be read: %v", err)
 		}
 		all = append(all, log...)
 	}
--- a/internal/lab/faults/verdict.go
+++ b/internal/lab/faults/verdict.go
@@ -12,125 +12,125 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// Verdict is what a run found on one guarantee.
+// Verdict is the result of checking one guarantee.
 type Verdict struct {
 	Guarantee string
-	// Checked counts what the guarantee was checked on.
+	// Checked is the number of items that were checked.
 	Checked    int
 	Violations []string
 }
 
-func (verdict *Verdict) violate(format string, values ...any) {
+func (verdict *Verdict) addViolation(format string, values ...any) {
 	verdict.Violations = append(verdict.Violations, fmt.Sprintf(format, values...))
 }
 
 func isConflict(err error) bool { return strings.Contains(err.Error(), string(failure.KindConflict)) }
 
-func (run *run) verdicts() []Verdict {
+func (run *run) checkAll() []Verdict {
 	return []Verdict{
-		run.answersWhole(),
-		run.atMostOnce(),
-		run.notRunIsTrue(),
-		run.refusalsSayWhen(),
-		run.tenantsApart(),
-		run.leavingGetsNothing(),
-		run.revisions(),
-		run.restartsServe(),
+		run.checkResponses(),
+		run.checkAtMostOnce(),
+		run.checkNotRun(),
+		run.checkRejections(),
+		run.checkCacheIsolation(),
+		run.checkDrainedEngines(),
+		run.checkRevisions(),
+		run.checkRestarts(),
 		{Guarantee: "the run itself", Checked: 1, Violations: run.violations},
 	}
 }
 
-// harmed reports whether the record's node was killed or frozen meanwhile.
-func (run *run) harmed(record load.Record) bool {
-	for _, harm := range run.harms {
-		if harm.node == record.Node && record.Started.Before(harm.until) && record.Ended.After(harm.from) {
+// wasDisrupted reports whether the node was killed or frozen during the request.
+func (run *run) wasDisrupted(record load.Record) bool {
+	for _, interval := range run.disruptions {
+		if interval.node == record.Node && record.Started.Before(interval.until) && record.Ended.After(interval.from) {
 			return true
 		}
 	}
 	return false
 }
 
-func (run *run) answersWhole() Verdict {
+func (run *run) checkResponses() Verdict {
 	verdict := Verdict{Guarantee: "every answer is whole, in order and its own"}
 	for _, record := range run.generator.History {
 		verdict.Checked++
 		switch {
-		case record.Broke && !run.harmed(record):
-			verdict.violate("%s on node %d broke off at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
-		case !record.Broke && record.Status == 200 && (!record.Complete || !record.Correct):
-			verdict.violate("%s on node %d: complete %v, right %v", record.ID, record.Node, record.Complete, record.Correct)
+		case record.ConnectionBroken && !run.wasDisrupted(record):
+			verdict.addViolation("%s on node %d broke off at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
+		case !record.ConnectionBroken && record.Status == 200 && (!record.Complete || !record.Correct):
+			verdict.addViolation("%s on node %d: complete %v, right %v", record.ID, record.Node, record.Complete, record.Correct)
 		}
 	}
 	return verdict
 }
 
-func (run *run) atMostOnce() Verdict {
+func (run *run) checkAtMostOnce() Verdict {
 	verdict := Verdict{Guarantee: "what may not be repeated runs at most once"}
 	runs := map[string]int{}
 	for _, execution := range run.plainExecutions() {
 		runs[strings.TrimPrefix(execution.Body, "turn ")]++
 	}
 	answered := map[string]bool{}
-	refused := map[string]bool{}
+	rejected := map[string]bool{}
 	for _, record := range run.generator.History {
-		if record.Kind != load.Once {
+		if record.Kind != load.AtMostOnce {
 			continue
 		}
 		answered[record.ID] = answered[record.ID] || record.Status == 200
-		onlyNotRun, seen := refused[record.ID]
-		refused[record.ID] = (onlyNotRun || !seen) && record.Outcome == string(failure.NotRun)
+		onlyNotRun, seen := rejected[record.ID]
+		rejected[record.ID] = (onlyNotRun || !seen) && record.Outcome == string(failure.NotRun)
 	}
 	for id, count := range runs {
 		if count > 1 {
-			verdict.violate("%s ran %d times", id, count)
+			verdict.addViolation("%s ran %d times", id, count)
 		}
 	}
 	for id, wasAnswered := range answered {
 		verdict.Checked++
 		if wasAnswered && runs[id] != 1 {
-			verdict.violate("%s was answered but ran %d times", id, runs[id])
+			verdict.addViolation("%s was answered but ran %d times", id, runs[id])
 		}
-		if refused[id] && runs[id] > 0 {
-			verdict.violate("%s was refused as not run but ran", id)
+		if rejected[id] && runs[id] > 0 {
+			verdict.addViolation("%s was refused as not run but ran", id)
 		}
 	}
 	return verdict
 }
 
-func (run *run) notRunIsTrue() Verdict {
+func (run *run) checkNotRun() Verdict {
 	verdict := Verdict{Guarantee: "a refusal that says not-run is true"}
 	started := map[string]bool{}
 	for _, execution := range run.executions {
 		started[execution.User] = true
 	}
 	for _, record := range run.generator.History {
-		if record.Kind == load.Once || record.Outcome != string(failure.NotRun) {
+		if record.Kind == load.AtMostOnce || record.Outcome != string(failure.NotRun) {
 			continue
 		}
 		verdict.Checked++
 		if started[record.ID] {
-			verdict.violate("%s on node %d: %s", record.ID, record.Node, record.Code)
+			verdict.addViolation("%s on node %d: %s", record.ID, record.Node, record.Code)
 		}
 	}
 	return verdict
 }
 
-func (run *run) refusalsSayWhen() Verdict {
+func (run *run) checkRejections() Verdict {
 	verdict := Verdict{Guarantee: "a refusal has its outcome and when to come back"}
 	for _, record := range run.generator.History {
-		if record.Status < 429 || record.Broke {
+		if record.Status < 429 || record.ConnectionBroken {
 			continue
 		}
 		verdict.Checked++
-		inStream := record.Kind == load.Streamed && record.FirstToken > 0
+		inStream := record.Kind == load.Streaming && record.FirstToken > 0
 		if record.Outcome == "" || (record.RetryAfter == "" && !inStream) {
-			verdict.violate("%s: status %d, outcome %q, retry after %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
+			verdict.addViolation("%s: status %d, outcome %q, retry after %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
 		}
 	}
 	return verdict
 }
 
-func (run *run) tenantsApart() Verdict {
+func (run *run) checkCacheIsolation() Verdict {
 	verdict := Verdict{Guarantee: "cache entries never cross tenants or versions"}
 	tenants := map[string]string{}
 	for _, record := range run.generator.History {
@@ -145,48 +145,48 @@
 		verdict.Checked++
 		owner := tenant + " " + execution.Model + " " + execution.Version
 		if first, seen := owners[execution.Salt]; seen && first != owner {
-			verdict.violate("one salt serves %s and %s", first, owner)
+			verdict.addViolation("one salt serves %s and %s", first, owner)
 		}
 		owners[execution.Salt] = owner
 	}
 	return verdict
 }
 
-func (run *run) leavingGetsNothing() Verdict {
+func (run *run) checkDrainedEngines() Verdict {
 	verdict := Verdict{Guarantee: "a leaving engine gets nothing new after 2 s"}
-	for _, departure := range run.departures {
+	for _, drain := range run.drains {
 		verdict.Checked++
 		for _, execution := range run.executions {
-			onEngine := strings.HasSuffix(execution.Attempt, "@"+departure.engine)
-			if onEngine && execution.At.After(departure.from) && execution.At.Before(departure.until) {
-				verdict.violate("%s got %s at %s", departure.engine, execution.User, execution.At.Format("15:04:05.000"))
+			onEngine := strings.HasSuffix(execution.Attempt, "@"+drain.engine)
+			if onEngine && execution.At.After(drain.from) && execution.At.Before(drain.until) {
+				verdict.addViolation("%s got %s at %s", drain.engine, execution.User, execution.At.Format("15:04:05.000"))
 			}
 		}
 	}
 	return verdict
 }
 
-func (run *run) revisions() Verdict {
+func (run *run) checkRevisions() Verdict {
 	verdict := Verdict{Guarantee: "accepted changes are in force everywhere in 3 s, and never go down"}
 	accepted := map[string]bool{}
 	for _, change := range run.changes {
 		verdict.Checked++
 		accepted[change.id] = true
-		if change.reached.IsZero() {
-			verdict.violate("revision %d did not reach every node", change.revision)
-		} else if late := change.reached.Sub(change.at); late > reachLimit {
-			verdict.violate("revision %d took %s", change.revision, late)
+		if change.propagatedAt.IsZero() {
+			verdict.addViolation("revision %d did not reach every node", change.revision)
+		} else if delay := change.propagatedAt.Sub(change.acceptedAt); delay > propagationLimit {
+			verdict.addViolation("revision %d took %s", change.revision, delay)
 		}
 	}
-	for _, id := range run.refused {
+	for _, id := range run.rejectedChanges {
 		if accepted[id] {
-			verdict.violate("change %s was both accepted and refused", id)
+			verdict.addViolation("change %s was both accepted and refused", id)
 		}
 	}
 	return verdict
 }
 
-func (run *run) restartsServe() Verdict {
+func (run *run) checkRestarts() Verdict {
 	verdict := Verdict{Guarantee: "a restarted node answers within 1 s", Checked: len(run.restarts)}
 	sort.Slice(run.restarts, func(i, j int) bool { return run.restarts[i].elapsed < run.restarts[j].elapsed })
 	if count := len(run.restarts); count > 0 {
@@ -195,21 +195,21 @@
 	}
 	for _, restart := range run.restarts {
 		if restart.elapsed > time.Second {
-			verdict.violate("first token after %s: %v", restart.elapsed, restart.tries[max(0, len(restart.tries)-5):])
+			verdict.addViolation("first token after %s: %v", restart.elapsed, restart.attempts[max(0, len(restart.attempts)-5):])
 		}
 	}
 	return verdict
 }
 
-// watchRevisions polls every node: revisions of one process never go down, and
-// accepted ones reach all nodes that can be expected to serve.
+// watchRevisions polls every node, checks that the revision of a process never decreases,
+// and records when accepted changes have reached all nodes that are not disrupted.
 func (run *run) watchRevisions(ctx context.Context) {
 	highest := make([]int64, len(run.cluster.Nodes))
 	processes := make([]any, len(run.cluster.Nodes))
 	for ctx.Err() == nil {
 		for node := range run.cluster.Nodes {
 			process := run.cluster.Nodes[node].Process
-			if run.isHarmed(node) {
+			if run.isDisrupted(node) {
 				processes[node] = nil
 				continue
 			}
@@ -218,41 +218,41 @@
 				continue
 			}
 			if processes[node] == any(process) && status.Revision < highest[node] {
-				run.note("node %d went from revision %d down to %d", node, highest[node], status.Revision)
+				run.recordViolation("node %d went from revision %d down to %d", node, highest[node], status.Revision)
 			}
 			processes[node], highest[node] = process, status.Revision
 		}
-		run.noteReached(highest)
-		pause.For(ctx, pollPause)
+		run.recordPropagation(highest)
+		pause.For(ctx, pollInterval)
 	}
 }
 
-func (run *run) isHarmed(node int) bool {
+func (run *run) isDisrupted(node int) bool {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	for _, harm := range run.harms {
-		if harm.node == node && time.Now().Before(harm.until) {
+	for _, interval := range run.disruptions {
+		if interval.node == node && time.Now().Before(interval.until) {
 			return true
 		}
 	}
 	return false
 }
 
-func (run *run) noteReached(highest []int64) {
+func (run *run) recordPropagation(highest []int64) {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
 	for index := range run.changes {
 		change := &run.changes[index]
-		reached := change.reached.IsZero()
+		propagated := change.propagatedAt.IsZero()
 		for node, revision := range highest {
 			expected := true
-			for _, harm := range run.harms {
-				expected = expected && (harm.node != node || !time.Now().Before(harm.until))
+			for _, interval := range run.disruptions {
+				expected = expected && (interval.node != node || !time.Now().Before(interval.until))
 			}
-			reached = reached && (!expected || revision >= change.revision)
+			propagated = propagated && (!expected || revision >= change.revision)
 		}
-		if reached {
-			change.reached = time.Now()
+		if propagated {
+			change.propagatedAt = time.Now()
 		}
 	}
 }
--- a/internal/lab/faultwire/wire_test.go
+++ b/internal/lab/faultwire/forwarder_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo starts a server that sends back what it gets, and counts lines.
-func echo(t *testing.T) (address string, lines chan string) {
+// startEchoServer starts a server that echoes each line and also sends it to the channel.
+func startEchoServer(t *testing.T) (address string, lines chan string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -34,46 +34,46 @@
 	return listener.Addr().String(), lines
 }
 
-func TestAWireHoldsBackWhatItsModeSays(t *testing.T) {
-	address, lines := echo(t)
-	wire, err := New(address)
+func TestForwarderAppliesMode(t *testing.T) {
+	address, lines := startEchoServer(t)
+	forwarder, err := New(address)
 	require.NoError(t, err)
-	defer wire.Close()
-	c, err := net.Dial("tcp", wire.Address())
+	defer forwarder.Close()
+	c, err := net.Dial("tcp", forwarder.Address())
 	require.NoError(t, err)
-	answers := bufio.NewReader(c)
-	say := func(text string) {
+	responses := bufio.NewReader(c)
+	send := func(text string) {
 		_, err := io.WriteString(c, text+"\n")
 		require.NoError(t, err)
 	}
-	hear := func() string {
-		line, err := answers.ReadString('\n')
+	receive := func() string {
+		line, err := responses.ReadString('\n')
 		require.NoError(t, err)
 		return line
 	}
-	say("a")
+	send("a")
 	require.Equal(t, "a", <-lines)
-	require.Equal(t, "a\n", hear())
+	require.Equal(t, "a\n", receive())
 
-	wire.Set(OneWay)
-	say("b")
+	forwarder.SetMode(ModeHoldResponses)
+	send("b")
 	require.Equal(t, "b", <-lines, "requests pass")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
-	_, err = answers.ReadString('\n')
+	_, err = responses.ReadString('\n')
 	require.Error(t, err, "answers do not")
 	require.NoError(t, c.SetReadDeadline(time.Time{}))
-	wire.Set(Sound)
-	require.Equal(t, "b\n", hear())
+	forwarder.SetMode(ModeForward)
+	require.Equal(t, "b\n", receive())
 
-	wire.Set(Silent)
-	say("c")
-	wire.Set(Sound)
-	require.Equal(t, "c\n", hear())
+	forwarder.SetMode(ModeBlackhole)
+	send("c")
+	forwarder.SetMode(ModeForward)
+	require.Equal(t, "c\n", receive())
 
-	wire.Set(Reset)
-	_, err = answers.ReadString('\n')
+	forwarder.SetMode(ModeReset)
+	_, err = responses.ReadString('\n')
 	require.Error(t, err)
-	again, err := net.Dial("tcp", wire.Address())
+	again, err := net.Dial("tcp", forwarder.Address())
 	if err == nil {
 		_, err = again.Read(make([]byte, 1))
 	}
--- a/internal/lab/inprocess/once_test.go
+++ b/internal/lab/inprocess/atmostonce_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (fleet *Fleet) ran(body string) int {
+func (fleet *Fleet) countExecutions(body string) int {
 	count := 0
 	for _, server := range fleet.Servers {
 		for _, execution := range server.Executions() {
@@ -24,8 +24,8 @@
 	return count
 }
 
-func TestDuplicatesToDifferentNodesRunOnce(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 3, Engines: 1, Servers: 3, Step: time.Millisecond})
+func TestDuplicatesOnDifferentNodesRunAtMostOnce(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 3, Engines: 1, Servers: 3, StepTime: time.Millisecond})
 	for round := range 5 {
 		key := uuid.Must(uuid.NewV7()).String()
 		body := fmt.Sprint("turn ", round)
@@ -34,7 +34,7 @@
 		for index := range statuses {
 			done.Go(func() {
 				header := http.Header{"Idempotency-Key": []string{key}}
-				response := post(t, fleet.URL(index%3), Key(Tenant), OncePath, header, []byte(body))
+				response := post(t, fleet.URL(index%3), Key(Tenant), AtMostOncePath, header, []byte(body))
 				defer response.Body.Close()
 				statuses[index] = response.StatusCode
 				if response.StatusCode != http.StatusOK {
@@ -43,17 +43,17 @@
 			})
 		}
 		done.Wait()
-		require.LessOrEqual(t, fleet.ran(body), 1, "%v", statuses)
+		require.LessOrEqual(t, fleet.countExecutions(body), 1, "%v", statuses)
 	}
 }
 
-// TestClaimsOutliveAChangeOfTheirHolders replaces one of three holders, and sends
-// duplicates of requests that ran before, during and after the change.
-func TestClaimsOutliveAChangeOfTheirHolders(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 4, Engines: 1, Servers: 2, Step: time.Millisecond, Holders: 3})
+// TestClaimsSurviveHolderChange replaces one of three claim holders and sends duplicates of
+// requests that ran before, during and after the change.
+func TestClaimsSurviveHolderChange(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 4, Engines: 1, Servers: 2, StepTime: time.Millisecond, Holders: 3})
 	send := func(node int, key, body string) int {
 		header := http.Header{"Idempotency-Key": []string{key}}
-		response := post(t, fleet.URL(node), Key(Tenant), OncePath, header, []byte(body))
+		response := post(t, fleet.URL(node), Key(Tenant), AtMostOncePath, header, []byte(body))
 		defer response.Body.Close()
 		return response.StatusCode
 	}
@@ -61,7 +61,7 @@
 	run := func(count int) {
 		for range count {
 			require.NoError(t, fleet.Await(func() bool {
-				// A send that was not run may come back under a new key.
+				// A request that was not run may be retried with a new key.
 				key := uuid.Must(uuid.NewV7()).String()
 				if send(len(keys)%4, key, "turn "+key) != http.StatusOK {
 					return false
@@ -87,21 +87,21 @@
 	require.NoError(t, fleet.Await(func() bool { return len(fleet.Nodes[0].Snapshot().Declaration.Claims.Previous) == 0 }), "the change is settled")
 	for index, key := range keys {
 		require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key))
-		require.Equal(t, 1, fleet.ran("turn "+key))
+		require.Equal(t, 1, fleet.countExecutions("turn "+key))
 	}
 }
 
-func TestLostAnswerOfAOnceRequestIsNotRepeated(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 3, Engines: 1, Servers: 2, Step: time.Millisecond})
+func TestLostResponseOfAtMostOnceRequestIsNotRetried(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 3, Engines: 1, Servers: 2, StepTime: time.Millisecond})
 	for _, server := range fleet.Servers {
-		server.CutAnswers(1)
+		server.DropResponses(1)
 	}
 	send := func() *http.Response {
-		return post(t, fleet.URL(0), Key(Tenant), OncePath, http.Header{}, []byte("turn"))
+		return post(t, fleet.URL(0), Key(Tenant), AtMostOncePath, http.Header{}, []byte("turn"))
 	}
 	response := send()
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get("X-Outcome"))
-	require.Equal(t, 1, fleet.ran("turn"))
+	require.Equal(t, 1, fleet.countExecutions("turn"))
 	_ = response.Body.Close()
 }
--- a/internal/lab/inprocess/bench_test.go
+++ b/internal/lab/inprocess/bench_test.go
@@ -24,7 +24,7 @@
 }
 
 func timeRequest(b *testing.B, url string, body []byte) time.Duration {
-	begin := time.Now()
+	start := time.Now()
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
@@ -38,22 +38,22 @@
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
 		b.Fatal(err, response.StatusCode)
 	}
-	return time.Since(begin)
+	return time.Since(start)
 }
 
-// BenchmarkNodeOverhead compares a request through a node with the same request
-// sent to the engine itself, in turns, and reports what the node adds.
+// BenchmarkNodeOverhead alternates requests through a node with the same requests sent
+// directly to the engine and reports the latency that the node adds.
 func BenchmarkNodeOverhead(b *testing.B) {
-	benchmarkOverhead(b, Config{Nodes: 1, Engines: 1, Step: 200 * time.Microsecond}, "whose turn is it?")
+	benchmarkOverhead(b, Config{Nodes: 1, Engines: 1, StepTime: 200 * time.Microsecond}, "whose turn is it?")
 }
 
-// BenchmarkIndexHop is the same with a prompt of 20 blocks and three nodes, with
-// the whole index on every node and with one home for each chain.
+// BenchmarkIndexHop measures the same with a prompt of 20 blocks and three nodes, with the
+// index replicated on every node and partitioned by chain.
 func BenchmarkIndexHop(b *testing.B) {
 	prompt := strings.Repeat("campaign", 20*BlockBytes/8)
-	for name, homes := range map[string]bool{"replicated": false, "homes": true} {
+	for name, partitioned := range map[string]bool{"replicated": false, "homes": true} {
 		b.Run(name, func(b *testing.B) {
-			benchmarkOverhead(b, Config{Nodes: 3, Engines: 1, Step: 200 * time.Microsecond, Homes: homes}, prompt)
+			benchmarkOverhead(b, Config{Nodes: 3, Engines: 1, StepTime: 200 * time.Microsecond, PartitionIndex: partitioned}, prompt)
 		})
 	}
 }
@@ -81,11 +81,11 @@
 	}
 }
 
-// BenchmarkOpenStreams opens many streams through one node and reports the
-// memory of the whole process (node, engine stand-in and callers) for each.
+// BenchmarkOpenStreams opens many streams through one node and reports the memory of the
+// whole process (node, engine stubs and clients) per stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2000
-	fleet, err := Start(Config{Nodes: 1, Engines: 130, Step: 100 * time.Millisecond})
+	fleet, err := Start(Config{Nodes: 1, Engines: 130, StepTime: 100 * time.Millisecond})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/lab/inprocess/configuration_test.go
+++ b/internal/lab/inprocess/configuration_test.go
@@ -18,23 +18,23 @@
 	"github.com/cloverrail/cloverrail/internal/operator"
 )
 
-func TestPartitionedNodeKeepsItsRevisionAndCatchesUp(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 4, Engines: 1, Step: time.Millisecond})
-	lone := fleet.Nodes[3]
-	before := lone.Snapshot().Revision
-	fleet.Cut(lone.Settings.PeerAddress, true)
+func TestPartitionedNodeKeepsRevisionAndCatchesUp(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 4, Engines: 1, StepTime: time.Millisecond})
+	partitioned := fleet.Nodes[3]
+	before := partitioned.Snapshot().Revision
+	fleet.SetBlocked(partitioned.Settings.PeerAddress, true)
 	statement, err := operator.Parse("set tenant " + Tenant + " priority 7")
 	require.NoError(t, err)
 	version, err := operator.Execute(context.Background(), fleet.Store, nil, statement)
 	require.NoError(t, err)
 	require.NoError(t, fleet.Await(func() bool { return fleet.Nodes[0].Snapshot().Revision == version.Revision }))
-	require.GreaterOrEqual(t, lone.Snapshot().Revision, before)
-	fleet.Cut(lone.Settings.PeerAddress, false)
-	require.NoError(t, fleet.Await(func() bool { return lone.Snapshot().Revision == version.Revision }))
+	require.GreaterOrEqual(t, partitioned.Snapshot().Revision, before)
+	fleet.SetBlocked(partitioned.Settings.PeerAddress, false)
+	require.NoError(t, fleet.Await(func() bool { return partitioned.Snapshot().Revision == version.Revision }))
 }
 
-func TestVersionChangeIsServedByNewWeightsOnly(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 2, Engines: 3, Step: time.Millisecond})
+func TestVersionChangeUsesOnlyNewWeights(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 2, Engines: 3, StepTime: time.Millisecond})
 	base, err := fleet.Store.Read(context.Background(), nil)
 	require.NoError(t, err)
 	changed := *fleet.Declaration
@@ -62,11 +62,11 @@
 		defer response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}), "the engines are ordered to load the new version")
-	require.LessOrEqual(t, fleet.Weights.Most(), loadsAtOnce, "the store is not asked by more engines than declared")
+	require.LessOrEqual(t, fleet.Weights.Peak(), loadsAtOnce, "the store is not asked by more engines than declared")
 }
 
-func TestDrainedEngineGetsNothingNewUntilReadmitted(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, Step: time.Millisecond})
+func TestDrainedEngineReceivesNoRequestsUntilReadmitted(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, StepTime: time.Millisecond})
 	command := func(text string) {
 		statement, err := operator.Parse(text)
 		require.NoError(t, err)
@@ -91,8 +91,8 @@
 	require.NotEmpty(t, fleet.Engines[0].Executions())
 }
 
-func TestHerdRestartServesWithTheKeyValueServiceUp(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 3, Engines: 2, Step: time.Millisecond})
+func TestSimultaneousRestartServesRequests(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 3, Engines: 2, StepTime: time.Millisecond})
 	for _, running := range fleet.Nodes {
 		<-running.Shutdown()
 	}
@@ -102,28 +102,28 @@
 	for index := range fleet.Nodes {
 		require.NoError(t, fleet.Await(func() bool { return fleet.Nodes[index].Ready() }))
 		response := post(t, fleet.URL(index), Key(Tenant), "/v1/completions", nil, completionBody(t, "again", 3, false))
-		said, err := io.ReadAll(response.Body)
+		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusOK, response.StatusCode, "%s", said)
+		require.Equal(t, http.StatusOK, response.StatusCode, "%s", body)
 		_ = response.Body.Close()
 	}
 }
 
-// TestHerdRestartIsGentleOnTheKeyValueService restarts nine nodes at once with a
-// configuration of many parts, and counts the reads that this costs.
-func TestHerdRestartIsGentleOnTheKeyValueService(t *testing.T) {
+// TestSimultaneousRestartBoundsKeyValueReads restarts nine nodes at once with a configuration
+// of many parts, to detect nodes that read every part from the key-value service.
+func TestSimultaneousRestartBoundsKeyValueReads(t *testing.T) {
 	const nodes = 9
-	fleet := startFleet(t, Config{Nodes: nodes, Engines: 1, Step: time.Millisecond})
+	fleet := startFleet(t, Config{Nodes: nodes, Engines: 1, StepTime: time.Millisecond})
 	base, err := fleet.Store.Read(context.Background(), nil)
 	require.NoError(t, err)
-	grown := *fleet.Declaration
+	enlarged := *fleet.Declaration
 	for index := range 2000 {
-		tenant := grown.Tenants[0]
+		tenant := enlarged.Tenants[0]
 		tenant.Name = fmt.Sprint("tenant-", index)
 		tenant.KeyDigests = []string{configuration.Digest(tenant.Name)}
-		grown.Tenants = append(grown.Tenants, tenant)
+		enlarged.Tenants = append(enlarged.Tenants, tenant)
 	}
-	version, err := fleet.Store.Propose(context.Background(), base, uuid.NewString(), &grown)
+	version, err := fleet.Store.Propose(context.Background(), base, uuid.NewString(), &enlarged)
 	require.NoError(t, err)
 	var done sync.WaitGroup
 	for _, running := range fleet.Nodes {
@@ -147,8 +147,8 @@
 	require.LessOrEqual(t, calls, 20*nodes)
 }
 
-func TestRestartServesFromPeersDuringAnOutage(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 3, Engines: 2, Step: time.Millisecond})
+func TestRestartLoadsConfigurationFromPeersDuringOutage(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 3, Engines: 2, StepTime: time.Millisecond})
 	fleet.KeyValue.SetFaults(kvstub.Faults{Outage: true})
 	<-fleet.Nodes[1].Shutdown()
 	require.NoError(t, fleet.StartNode(1))
@@ -158,8 +158,8 @@
 	_ = response.Body.Close()
 }
 
-func TestNothingThatKnowsTheConfigurationIsRefusedAsNotRun(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
+func TestNodeWithoutConfigurationRejectsAsNotRun(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
 	fleet.KeyValue.SetFaults(kvstub.Faults{Outage: true})
 	<-fleet.Nodes[0].Shutdown()
 	require.NoError(t, fleet.StartNode(0))
@@ -177,8 +177,8 @@
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-func TestLateOrderIsRefusedByTheEngine(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
+func TestEngineRejectsOrderWithOlderToken(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
 	client := engineapi.NewClient()
 	address := fleet.Declaration.Pools[0].Engines[0].Address
 	ctx := context.Background()
--- a/internal/lab/inprocess/engine_test.go
+++ b/internal/lab/inprocess/engine_test.go
@@ -18,8 +18,8 @@
 	"github.com/cloverrail/cloverrail/internal/operator"
 )
 
-func TestEngineCrashMidStreamIsContinuedElsewhere(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 3, Step: 2 * time.Millisecond})
+func TestStreamContinuesOnAnotherEngineAfterCrash(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 3, StepTime: 2 * time.Millisecond})
 	prompt := strings.Repeat("campaign history ", 100)
 	crash := sync.OnceFunc(func() {
 		for _, engine := range fleet.Engines {
@@ -39,10 +39,11 @@
 	require.Equal(t, expectedText(prompt, 60), text)
 }
 
-// TestDeathOfAnEngineIsToldByWhoMeetsIt has no readers, as in the first seconds
-// after a zone is lost with its engines and the nodes that read them.
-func TestDeathOfAnEngineIsToldByWhoMeetsIt(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, Step: time.Millisecond, NoReaders: true})
+// TestEngineFailureIsSharedWithPeers runs without event readers, as in the first seconds
+// after a zone fails with its engines and the nodes that watch them. A node that fails to
+// reach an engine must inform its peers.
+func TestEngineFailureIsSharedWithPeers(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, StepTime: time.Millisecond, NoReaders: true})
 	send := func(node int, prompt string) int {
 		response := post(t, fleet.URL(node), Key(Tenant), "/v1/completions", nil, completionBody(t, prompt, 2, false))
 		defer response.Body.Close()
@@ -50,16 +51,16 @@
 	}
 	require.Equal(t, http.StatusOK, send(0, "first"))
 	require.NoError(t, fleet.Await(func() bool { return fleet.Nodes[1].UsableEngines("main") == 2 }))
-	fleet.CloseEngine(0)
+	fleet.StopEngine(0)
 	require.NoError(t, fleet.Await(func() bool {
 		require.Equal(t, http.StatusOK, send(0, uuid.NewString()))
 		return fleet.Nodes[1].UsableEngines("main") == 1
 	}), "the other node hears of it without having tried")
 }
 
-func TestEngineThatNeverAnswersIsGivenUpOn(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, Step: time.Millisecond})
-	fleet.Engines[0].SetMute(true)
+func TestUnresponsiveEngineIsAbandoned(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, StepTime: time.Millisecond})
+	fleet.Engines[0].SetUnresponsive(true)
 	for index := range 4 {
 		prompt := fmt.Sprint("prompt ", index)
 		response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, prompt, 3, true))
@@ -70,10 +71,11 @@
 	}
 }
 
-// TestAnswerNeverMixesTwoVersions changes the model's version while an answer is
-// being written, and then takes the engine away: nothing may go on with it.
-func TestAnswerNeverMixesTwoVersions(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, Step: 5 * time.Millisecond})
+// TestResponseNeverMixesModelVersions changes the version of the model during a stream and
+// then crashes the engines. The stream must fail, because no engine has the version that
+// it started with.
+func TestResponseNeverMixesModelVersions(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, StepTime: 5 * time.Millisecond})
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "prompt", 4000, true))
 	defer response.Body.Close()
 	change := sync.OnceFunc(func() {
@@ -105,8 +107,8 @@
 	require.Contains(t, last, `"outcome":"ran"`)
 }
 
-func TestFirstRequestAfterACrashUnderTheSameAddress(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
+func TestFirstRequestAfterEngineRestartSucceeds(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
 	fleet.Engines[0].Crash()
 	prompt := "short"
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, prompt, 5, true))
@@ -116,10 +118,10 @@
 	require.Equal(t, expectedText(prompt, 5), text)
 }
 
-func TestLeavingEngineGetsNothingNewAndListMayLag(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, Step: time.Millisecond, Lag: time.Hour})
+func TestDrainingEngineReceivesNoRequestsDespiteStaleMachineList(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, StepTime: time.Millisecond, MachineListLag: time.Hour})
 	fleet.Machines.Set(machinestub.Machine{Name: "engine-0", State: "leaving"})
-	fleet.Engines[0].SetLeaving(true)
+	fleet.Engines[0].SetDraining(true)
 	require.NoError(t, fleet.Await(func() bool {
 		return fleet.Nodes[0].UsableEngines("main") == 1 && fleet.Nodes[1].UsableEngines("main") == 1
 	}))
@@ -132,8 +134,8 @@
 	require.Len(t, fleet.Engines[0].Executions(), before)
 }
 
-func TestCallerWhoLeavesCancelsTheEnginesWork(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: 2 * time.Millisecond})
+func TestCallerDisconnectCancelsEngineWork(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: 2 * time.Millisecond})
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "long", 100_000, true))
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	_ = response.Body.Close()
--- a/internal/lab/inprocess/fleet.go
+++ b/internal/lab/inprocess/fleet.go
@@ -1,5 +1,5 @@
-// Package inprocess runs nodes and stand-ins inside one process, over real
-// sockets on loopback, for tests of the whole path.
+// Package inprocess runs nodes and stub servers in a single process, connected by loopback
+// sockets, for end-to-end tests.
 package inprocess
 
 import (
@@ -34,80 +34,80 @@
 	"github.com/cloverrail/cloverrail/internal/configstore"
 )
 
-// Names in the declaration of a test fleet.
+// Names and parameters of a test fleet.
 const (
-	Model       = "oraakeli"
-	Version     = "v1"
-	Tenant      = "studio"
-	OtherTenant = "rival"
-	BlockBytes  = 400
-	OncePath    = "/turns"
-	fleetKey    = "00112233445566778899aabbccddeeff"
-	readyLimit  = 15 * time.Second
-	loadsAtOnce = 2
-	poll        = 10 * time.Millisecond
+	Model          = "oraakeli"
+	Version        = "v1"
+	Tenant         = "studio"
+	OtherTenant    = "rival"
+	BlockBytes     = 400
+	AtMostOncePath = "/turns"
+	fleetKey       = "00112233445566778899aabbccddeeff"
+	awaitTimeout   = 15 * time.Second
+	loadsAtOnce    = 2
+	pollInterval   = 10 * time.Millisecond
 )
 
-// Key returns a tenant's or operator's key.
+// Key returns the API key of a tenant or operator.
 func Key(name string) string { return "key-of-" + name }
 
-// Config sets up a fleet.
+// Config holds the settings of a fleet.
 type Config struct {
 	Nodes   int
 	Engines int
 	Servers int
-	// Step is an engine's step time.
-	Step time.Duration
-	// Homes makes each chain of the index have one home, as in a large fleet.
-	Homes bool
-	// Holders of claims; 0 makes all nodes holders.
+	// StepTime is the step time of the engines.
+	StepTime time.Duration
+	// PartitionIndex gives each chain of the prefix index a single owner node
+	// instead of replicating the index on every node, as in a large fleet.
+	PartitionIndex bool
+	// Holders is the number of claim holders; 0 makes all nodes holders.
 	Holders int
-	// NoReaders leaves the engines unwatched.
+	// NoReaders disables the event readers, so that no node watches the engines.
 	NoReaders bool
-	// Lag of the machine list.
-	Lag time.Duration
+	// MachineListLag delays changes of the machine list.
+	MachineListLag time.Duration
 }
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	Settings settings.Settings
 	*node.Node
 	stop context.CancelFunc
 	done chan struct{}
-	// err is why the node ended, once done is closed.
+	// err is the result of the node's Run, set before done is closed.
 	err error
 }
 
-// Fleet is all of it.
+// Fleet is a set of running nodes with the stub servers that they use.
 type Fleet struct {
-	Declaration *configuration.Declaration
-	KeyValue    *kvstub.Server
-	Machines    *machinestub.Server
-	Engines     []*enginestub.Server
-	Servers     []*plainstub.Server
-	Kept        *keptstub.Server
-	Weights     *weightstub.Server
-	Nodes       []*Node
-	Store       *configstore.Store
+	Declaration     *configuration.Declaration
+	KeyValue        *kvstub.Server
+	Machines        *machinestub.Server
+	Engines         []*enginestub.Server
+	Servers         []*plainstub.Server
+	PrefixStoreStub *keptstub.Server
+	Weights         *weightstub.Server
+	Nodes           []*Node
+	Store           *configstore.Store
 
 	mutex   sync.Mutex
 	blocked map[string]bool
 	closers []func()
-	// engineClosers end the servers of single engines.
+	// engineClosers stop the servers of individual engines.
 	engineClosers []func()
 	peers         []string
 	base          settings.Settings
 	options       node.Options
 }
 
-// Start starts the fleet, applies its declaration and waits until every node is
-// ready.
+// Start starts a fleet, applies its declaration and waits until every node is ready.
 func Start(config Config) (*Fleet, error) {
-	fleet := &Fleet{blocked: map[string]bool{}, KeyValue: kvstub.New(), Machines: machinestub.New(config.Lag)}
+	fleet := &Fleet{blocked: map[string]bool{}, KeyValue: kvstub.New(), Machines: machinestub.New(config.MachineListLag)}
 	fleet.options.Blocked = fleet.isBlocked
 	fleet.options.NoReaders = config.NoReaders
 	fleet.base = settings.Defaults()
-	if config.Homes {
+	if config.PartitionIndex {
 		fleet.base.ReplicateUpTo = 0
 	}
 	fleet.base.KeyValueAddress = fleet.serve(fleet.KeyValue)
@@ -118,7 +118,7 @@
 	for range config.Nodes {
 		fleet.peers = append(fleet.peers, address.Free())
 	}
-	fleet.declare(config)
+	fleet.buildDeclaration(config)
 	fleet.Store = configstore.New(kvservice.NewClient(fleet.base.KeyValueAddress))
 	if _, err := fleet.Store.Propose(context.Background(), nil, uuid.NewString(), fleet.Declaration); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 			return nil, err
 		}
 	}
-	return fleet, fleet.Await(fleet.ready)
+	return fleet, fleet.Await(fleet.allReady)
 }
 
 func (fleet *Fleet) serve(handler http.Handler) string {
@@ -140,7 +140,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (fleet *Fleet) declare(config Config) {
+func (fleet *Fleet) buildDeclaration(config Config) {
 	holders := fleet.peers
 	if config.Holders > 0 {
 		holders = holders[:config.Holders]
@@ -148,7 +148,7 @@
 	if len(holders) < claim.HoldersPerKey {
 		holders = nil
 	}
-	declared := &configuration.Declaration{
+	declaration := &configuration.Declaration{
 		Version: 1, Fleet: "test",
 		Zones:   []configuration.Zone{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}, {Name: "c", Region: "r"}},
 		Routing: configuration.Routing{WaitWeight: 1, WorkWeight: 1},
@@ -156,13 +156,13 @@
 		Classes: []configuration.Class{{Name: "normal", Priority: 3, Deadline: time.Minute, QueueTimeout: 20 * time.Second}},
 		Models:  []configuration.Model{{Name: Model, Version: Version}, {Name: "secret", Version: Version}},
 	}
-	model := enginemodel.Standard(config.Step, 20_000)
+	model := enginemodel.StandardConfig(config.StepTime, 20_000)
 	model.BlockTokens = BlockBytes / 4
 	pool := configuration.Pool{Name: "main", Models: []string{Model}, BlockBytes: BlockBytes, PrefillTokensPerSecond: 20_000, LoadsAtOnce: loadsAtOnce, ConcurrentPerEngine: 16}
 	fleet.Weights = weightstub.New(200*time.Millisecond, loadsAtOnce)
 	weights := fleet.serve(fleet.Weights)
-	fleet.Kept = keptstub.New(10_000)
-	pool.PrefixStore = &configuration.PrefixStore{Name: "kept", Address: fleet.serve(fleet.Kept), Zone: "b", TokensPerSecond: 200_000}
+	fleet.PrefixStoreStub = keptstub.New(10_000)
+	pool.PrefixStore = &configuration.PrefixStore{Name: "kept", Address: fleet.serve(fleet.PrefixStoreStub), Zone: "b", TokensPerSecond: 200_000}
 	for index := range config.Engines {
 		engine := enginestub.New(enginestub.Config{Model: model, BlockBytes: BlockBytes, Weights: map[string]string{Model: Version, "secret": Version}, WeightStore: weights})
 		fleet.Engines = append(fleet.Engines, engine)
@@ -170,37 +170,38 @@
 		fleet.engineClosers = append(fleet.engineClosers, fleet.closers[len(fleet.closers)-1])
 	}
 	closed := configuration.Pool{Name: "closed", Models: []string{"secret"}, BlockBytes: BlockBytes, PrefillTokensPerSecond: 20_000, LoadsAtOnce: loadsAtOnce, ConcurrentPerEngine: 16}
-	declared.Pools = []configuration.Pool{pool, closed}
+	declaration.Pools = []configuration.Pool{pool, closed}
 	service := configuration.Service{Name: "turns", Routes: []configuration.Route{
-		{Method: "POST", Path: OncePath}, {Method: "GET", Path: "/matches", Repeatable: true}}}
+		{Method: "POST", Path: AtMostOncePath}, {Method: "GET", Path: "/matches", Repeatable: true}}}
 	for index := range config.Servers {
 		server := plainstub.New(time.Millisecond)
 		fleet.Servers = append(fleet.Servers, server)
 		service.Servers = append(service.Servers, configuration.Backend{Name: fmt.Sprint("server-", index), Address: fleet.serve(server), Zone: "a"})
 	}
-	declared.Services = []configuration.Service{service}
+	declaration.Services = []configuration.Service{service}
 	tenant := func(name, pool string) configuration.Tenant {
 		return configuration.Tenant{Name: name, KeyDigests: []string{configuration.Digest(Key(name))}, Pools: []string{pool}, Class: "normal", Weight: 1,
 			Limits: configuration.Limits{RequestsPerSecond: 10_000, Burst: 10_000, Streams: 10_000}}
 	}
-	declared.Tenants = []configuration.Tenant{tenant(Tenant, "main"), tenant(OtherTenant, "closed")}
-	declared.Operators = []configuration.Operator{{Name: "duty", KeyDigest: configuration.Digest(Key("duty"))}}
-	fleet.Declaration = declared
+	declaration.Tenants = []configuration.Tenant{tenant(Tenant, "main"), tenant(OtherTenant, "closed")}
+	declaration.Operators = []configuration.Operator{{Name: "duty", KeyDigest: configuration.Digest(Key("duty"))}}
+	fleet.Declaration = declaration
 }
 
-// StartNode starts a node at its addresses.
+// StartNode starts or restarts a node. It keeps its peer address and gets new caller and
+// operator addresses.
 func (fleet *Fleet) StartNode(index int) error {
-	given := fleet.base
-	given.Zone = string(rune('a' + index%3))
-	given.PeerAddress = fleet.peers[index]
-	given.CallerAddress, given.OperatorAddress = address.Free(), address.Free()
-	given.Seeds = fleet.peers
-	created, err := node.New(given, zerolog.Nop(), fleet.options)
+	nodeSettings := fleet.base
+	nodeSettings.Zone = string(rune('a' + index%3))
+	nodeSettings.PeerAddress = fleet.peers[index]
+	nodeSettings.CallerAddress, nodeSettings.OperatorAddress = address.Free(), address.Free()
+	nodeSettings.Seeds = fleet.peers
+	created, err := node.New(nodeSettings, zerolog.Nop(), fleet.options)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	running := &Node{Settings: given, Node: created, stop: stop, done: make(chan struct{})}
+	running := &Node{Settings: nodeSettings, Node: created, stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(running.done)
 		running.err = created.Run(ctx, gateway.New(created), operator.NewServer(created, ""))
@@ -213,21 +214,21 @@
 	return nil
 }
 
-// Shutdown asks a node to stop as planned and returns a channel that closes
-// when it has.
+// Shutdown starts a graceful shutdown and returns a channel that is closed when the node
+// has stopped.
 func (running *Node) Shutdown() <-chan struct{} {
 	running.stop()
 	return running.done
 }
 
-// CloseEngine ends an engine's server for good.
-func (fleet *Fleet) CloseEngine(index int) { fleet.engineClosers[index]() }
+// StopEngine stops the server of an engine permanently.
+func (fleet *Fleet) StopEngine(index int) { fleet.engineClosers[index]() }
 
-// Cut blocks the path to a node's peer address, or opens it again.
-func (fleet *Fleet) Cut(address string, cut bool) {
+// SetBlocked blocks or unblocks traffic to the peer address of a node.
+func (fleet *Fleet) SetBlocked(address string, blocked bool) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.blocked[address] = cut
+	fleet.blocked[address] = blocked
 }
 
 func (fleet *Fleet) isBlocked(address string) bool {
@@ -236,7 +237,7 @@
 	return fleet.blocked[address]
 }
 
-func (fleet *Fleet) ready() bool {
+func (fleet *Fleet) allReady() bool {
 	for _, running := range fleet.Nodes {
 		if !running.Ready() || len(running.Members()) < len(fleet.Nodes) || (!fleet.options.NoReaders && running.UsableEngines("main") < len(fleet.Engines)) {
 			return false
@@ -245,35 +246,35 @@
 	return true
 }
 
-// Await polls until the condition holds, or fails after a generous while.
+// Await polls until the condition holds, or fails after awaitTimeout.
 func (fleet *Fleet) Await(condition func() bool) error {
-	for end := time.Now().Add(readyLimit); !condition(); time.Sleep(poll) {
-		if time.Now().After(end) {
-			return errors.Errorf("the condition did not come to hold; %s", fleet.ends())
+	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			return errors.Errorf("the condition did not come to hold; %s", fleet.endedNodes())
 		}
 	}
 	return nil
 }
 
-// ends tells which nodes have ended, and why.
-func (fleet *Fleet) ends() string {
-	told := "nodes that ended:"
+// endedNodes describes which nodes have stopped, with their errors.
+func (fleet *Fleet) endedNodes() string {
+	description := "nodes that ended:"
 	for index, running := range fleet.Nodes {
 		select {
 		case <-running.done:
-			told += fmt.Sprintf(" %d (%v)", index, running.err)
+			description += fmt.Sprintf(" %d (%v)", index, running.err)
 		default:
 		}
 	}
-	return told
+	return description
 }
 
-// URL returns a node's callers' interface.
+// URL returns the base URL of a node's caller address.
 func (fleet *Fleet) URL(index int) string {
 	return "http://" + fleet.Nodes[index].Settings.CallerAddress
 }
 
-// Stop ends everything.
+// Stop stops all nodes and stub servers.
 func (fleet *Fleet) Stop() {
 	for _, running := range fleet.Nodes {
 		running.stop()
--- a/internal/lab/inprocess/fleet_test.go
+++ b/internal/lab/inprocess/fleet_test.go
@@ -62,8 +62,9 @@
 	return text.String()
 }
 
-// readStream returns the text of a streamed completion and whether it ended.
-func readStream(t *testing.T, body io.Reader, each func(events int)) (text string, done bool) {
+// readStream returns the text of a streaming completion and whether it was complete. It
+// calls onEvent after each event with the number of events so far.
+func readStream(t *testing.T, body io.Reader, onEvent func(events int)) (text string, done bool) {
 	t.Helper()
 	lines := bufio.NewScanner(body)
 	events := 0
@@ -81,15 +82,15 @@
 			text += choice.Content()
 		}
 		events++
-		if each != nil {
-			each(events)
+		if onEvent != nil {
+			onEvent(events)
 		}
 	}
 	return text, false
 }
 
-func TestStockClientWorksUnchanged(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, Step: time.Millisecond})
+func TestOpenAIClientIsCompatible(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, StepTime: time.Millisecond})
 	client := openai.NewClient(option.WithBaseURL(fleet.URL(0)+"/v1"), option.WithAPIKey(Key(Tenant)), option.WithMaxRetries(0))
 	ctx := context.Background()
 	models, err := client.Models.List(ctx)
@@ -118,9 +119,9 @@
 	require.Equal(t, "not_found", refusal.Code)
 }
 
-func TestStrangersAndOtherTenantsLearnNothing(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
-	answer := func(key, model string) (int, string) {
+func TestUnauthorizedResponsesRevealNothing(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
+	send := func(key, model string) (int, string) {
 		body := bytes.Replace(completionBody(t, "p", 1, false), []byte(Model), []byte(model), 1)
 		response := post(t, fleet.URL(0), key, "/v1/completions", nil, body)
 		defer response.Body.Close()
@@ -128,20 +129,20 @@
 		require.NoError(t, err)
 		return response.StatusCode, string(text)
 	}
-	status, wrongKey := answer("wrong", Model)
+	status, wrongKey := send("wrong", Model)
 	require.Equal(t, http.StatusUnauthorized, status)
-	_, noKey := answer("", "secret")
+	_, noKey := send("", "secret")
 	require.Equal(t, wrongKey, noKey)
-	status, foreign := answer(Key(Tenant), "secret")
+	status, foreign := send(Key(Tenant), "secret")
 	require.Equal(t, http.StatusNotFound, status)
-	_, missing := answer(Key(Tenant), "none")
+	_, missing := send(Key(Tenant), "none")
 	require.Equal(t, missing, foreign)
-	_, operatorKey := answer(Key("duty"), Model)
+	_, operatorKey := send(Key("duty"), Model)
 	require.Equal(t, wrongKey, operatorKey)
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, Step: 5 * time.Millisecond})
+func TestGracefulShutdownCompletesOpenStreams(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, StepTime: 5 * time.Millisecond})
 	const streams = 12
 	var opened, done sync.WaitGroup
 	opened.Add(streams)
--- a/internal/lab/inprocess/index_test.go
+++ b/internal/lab/inprocess/index_test.go
@@ -14,8 +14,8 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// wholeAnswer sends a request that is not streamed and returns its answer.
-func wholeAnswer(t *testing.T, fleet *Fleet, prompt string) engineapi.Chunk {
+// sendCompletion sends a non-streaming request and returns the response.
+func sendCompletion(t *testing.T, fleet *Fleet, prompt string) engineapi.Chunk {
 	t.Helper()
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, prompt, 5, false))
 	defer response.Body.Close()
@@ -26,32 +26,32 @@
 	return answer
 }
 
-func TestKeptBlocksAreImportedAfterACrash(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
+func TestStoredBlocksAreImportedAfterCrash(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
 	prompt := strings.Repeat("the long history of a campaign ", 100)
-	require.Zero(t, wholeAnswer(t, fleet, prompt).Usage.Details.CachedTokens)
+	require.Zero(t, sendCompletion(t, fleet, prompt).Usage.Details.CachedTokens)
 	require.NoError(t, fleet.Await(func() bool { return fleet.Nodes[0].IndexBlocks() > 0 }))
 	fleet.Engines[0].Crash()
 	require.NoError(t, fleet.Await(func() bool {
-		return wholeAnswer(t, fleet, prompt+"!").Usage.Details.CachedTokens > 0 && fleet.Kept.Fetched() > 0
+		return sendCompletion(t, fleet, prompt+"!").Usage.Details.CachedTokens > 0 && fleet.PrefixStoreStub.FetchedBlocks() > 0
 	}))
 }
 
-func TestKeptBlocksOfAnotherIdentityAreNotUsed(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, Step: time.Millisecond})
+func TestStoredBlocksOfOtherIdentityAreIgnored(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 1, Engines: 1, StepTime: time.Millisecond})
 	prompt := strings.Repeat("the long history of a campaign ", 100)
-	wholeAnswer(t, fleet, prompt)
-	fleet.Kept.SetWrong(true)
+	sendCompletion(t, fleet, prompt)
+	fleet.PrefixStoreStub.SetWrongIdentity(true)
 	require.NoError(t, fleet.Await(func() bool {
 		fleet.Engines[0].Crash()
-		answer := wholeAnswer(t, fleet, prompt)
+		answer := sendCompletion(t, fleet, prompt)
 		require.Zero(t, answer.Usage.Details.CachedTokens, "nothing of another identity is used")
-		return fleet.Kept.Fetched() > 0
+		return fleet.PrefixStoreStub.FetchedBlocks() > 0
 	}))
 }
 
-func TestIndexWithHomesFindsPrefixesFromEveryNode(t *testing.T) {
-	fleet := startFleet(t, Config{Nodes: 3, Engines: 4, Step: time.Millisecond, Homes: true})
+func TestPartitionedIndexFindsPrefixesFromEveryNode(t *testing.T) {
+	fleet := startFleet(t, Config{Nodes: 3, Engines: 4, StepTime: time.Millisecond, PartitionIndex: true})
 	prompts := []string{}
 	for index := range 6 {
 		prompts = append(prompts, strings.Repeat(fmt.Sprint("campaign ", index, " "), 200))
@@ -73,28 +73,29 @@
 		}
 	}
 	require.NoError(t, fleet.Await(func() bool {
-		known := 0
+		indexed := 0
 		for _, running := range fleet.Nodes {
-			known += running.IndexBlocks()
+			indexed += running.IndexBlocks()
 		}
-		return known == blocks
+		return indexed == blocks
 	}), "each anchor is known at its home and nowhere else")
 	for node := range fleet.Nodes {
 		for _, prompt := range prompts {
 			require.Positive(t, send(node, prompt).Details.CachedTokens)
 		}
 	}
-	// A node that leaves takes its part with it; the readers deal it out again.
+	// The partition of a node that stops is lost; the readers publish its entries again
+	// to the new owners.
 	<-fleet.Nodes[2].Shutdown()
 	require.NoError(t, fleet.Await(func() bool {
-		known := 0
+		indexed := 0
 		for _, running := range fleet.Nodes[:2] {
-			known += running.IndexBlocks()
+			indexed += running.IndexBlocks()
 		}
-		return known >= blocks
+		return indexed >= blocks
 	}))
-	// A home that cannot be reached costs hits, not answers.
-	fleet.Cut(fleet.Nodes[1].Settings.PeerAddress, true)
+	// An unreachable owner costs cache hits but does not fail requests.
+	fleet.SetBlocked(fleet.Nodes[1].Settings.PeerAddress, true)
 	for _, prompt := range prompts {
 		require.Equal(t, 2, send(0, prompt).CompletionTokens)
 	}
