--- a/internal/lab/keptstub/server.go
+++ b/internal/lab/keptstub/server.go
@@ -1,5 +1,6 @@
-// Package keptstub stands in for the platform's store of kept KV cache. It keeps
-// the names and identities of blocks, not their contents.
+// Package keptstub implements a stub of the platform's prefix store, which holds KV-cache
+// blocks outside the engines. It stores the hashes and identities of blocks, not their
+// contents.
 package keptstub
 
 import (
@@ -16,54 +17,54 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	mux   *http.ServeMux
 	epoch string
 
 	mutex      sync.Mutex
-	kept       *enginemodel.Kept
+	blocks     *enginemodel.PrefixStore
 	identities map[prefix.Hash]string
 	events     eventlog.Log
-	// wrong makes the store answer with blocks of another identity.
-	wrong   bool
-	fetched int
+	// wrongIdentity makes the store return blocks with another identity.
+	wrongIdentity bool
+	fetchedBlocks int
 }
 
-// New returns an empty store of the given capacity in blocks.
+// New returns an empty store with the given capacity in blocks.
 func New(capacity int) *Server {
-	server := &Server{mux: http.NewServeMux(), epoch: uuid.NewString(), kept: enginemodel.NewKept(capacity), identities: map[prefix.Hash]string{}}
-	server.mux.HandleFunc("POST "+engineapi.PathKeptStore, server.store)
-	server.mux.HandleFunc("POST "+engineapi.PathKeptFetch, server.fetch)
-	server.mux.HandleFunc("GET "+engineapi.PathEvents, server.cacheEvents)
-	server.mux.HandleFunc("GET "+engineapi.PathSnapshot, server.snapshot)
-	server.mux.HandleFunc("GET "+engineapi.PathStatus, func(writer http.ResponseWriter, _ *http.Request) { standin.Answer(writer, server.status()) })
+	server := &Server{mux: http.NewServeMux(), epoch: uuid.NewString(), blocks: enginemodel.NewPrefixStore(capacity), identities: map[prefix.Hash]string{}}
+	server.mux.HandleFunc("POST "+engineapi.PathStoreSave, server.serveStore)
+	server.mux.HandleFunc("POST "+engineapi.PathStoreFetch, server.serveFetch)
+	server.mux.HandleFunc("GET "+engineapi.PathEvents, server.serveCacheEvents)
+	server.mux.HandleFunc("GET "+engineapi.PathSnapshot, server.serveSnapshot)
+	server.mux.HandleFunc("GET "+engineapi.PathStatus, func(writer http.ResponseWriter, _ *http.Request) { standin.WriteJSON(writer, server.currentStatus()) })
 	return server
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the API of the store.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
 
-// SetWrong makes the store answer with blocks of another identity.
-func (server *Server) SetWrong(wrong bool) {
+// SetWrongIdentity makes the store return blocks with another identity, or ends that fault.
+func (server *Server) SetWrongIdentity(wrongIdentity bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.wrong = wrong
+	server.wrongIdentity = wrongIdentity
 }
 
-// Fetched counts the blocks handed out.
-func (server *Server) Fetched() int {
+// FetchedBlocks returns the number of blocks returned so far.
+func (server *Server) FetchedBlocks() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return server.fetched
+	return server.fetchedBlocks
 }
 
-func (server *Server) status() engineapi.Status { return engineapi.Status{Epoch: server.epoch} }
+func (server *Server) currentStatus() engineapi.Status { return engineapi.Status{Epoch: server.epoch} }
 
-func (server *Server) store(writer http.ResponseWriter, request *http.Request) {
-	message, ok := standin.Read[engineapi.KeptBlocks](writer, request)
+func (server *Server) serveStore(writer http.ResponseWriter, request *http.Request) {
+	message, ok := standin.ReadJSON[engineapi.StoredBlocks](writer, request)
 	if !ok {
 		return
 	}
@@ -74,8 +75,8 @@
 		chain = append(chain, block.Block)
 		server.identities[block.Block] = block.Identity
 	}
-	server.kept.Store(chain, time.Now())
-	for _, event := range server.kept.TakeEvents() {
+	server.blocks.Store(chain, time.Now())
+	for _, event := range server.blocks.TakeEvents() {
 		if event.Kind == engineapi.BlockEvicted {
 			delete(server.identities, event.Block)
 		}
@@ -83,36 +84,36 @@
 	}
 }
 
-// fetch answers with the leading blocks that are kept.
-func (server *Server) fetch(writer http.ResponseWriter, request *http.Request) {
-	message, ok := standin.Read[engineapi.KeptBlocks](writer, request)
+// serveFetch returns the leading requested blocks that are stored.
+func (server *Server) serveFetch(writer http.ResponseWriter, request *http.Request) {
+	message, ok := standin.ReadJSON[engineapi.StoredBlocks](writer, request)
 	if !ok {
 		return
 	}
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	found := engineapi.KeptBlocks{}
+	response := engineapi.StoredBlocks{}
 	for _, block := range message.Blocks {
 		identity, held := server.identities[block.Block]
 		if !held {
 			break
 		}
-		if server.wrong {
+		if server.wrongIdentity {
 			identity = "another tenant's"
 		}
-		found.Blocks = append(found.Blocks, engineapi.KeptBlock{Block: block.Block, Identity: identity})
+		response.Blocks = append(response.Blocks, engineapi.StoredBlock{Block: block.Block, Identity: identity})
 	}
-	server.fetched += len(found.Blocks)
-	standin.Answer(writer, found)
+	server.fetchedBlocks += len(response.Blocks)
+	standin.WriteJSON(writer, response)
 }
 
-func (server *Server) cacheEvents(writer http.ResponseWriter, request *http.Request) {
-	server.events.Serve(writer, request, server.status)
+func (server *Server) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
+	server.events.Serve(writer, request, server.currentStatus)
 }
 
-func (server *Server) snapshot(writer http.ResponseWriter, _ *http.Request) {
+func (server *Server) serveSnapshot(writer http.ResponseWriter, _ *http.Request) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	sequence, blocks := server.kept.Snapshot()
-	standin.Answer(writer, engineapi.Snapshot{Epoch: server.epoch, Sequence: sequence, Blocks: blocks})
+	sequence, blocks := server.blocks.Snapshot()
+	standin.WriteJSON(writer, engineapi.Snapshot{Epoch: server.epoch, Sequence: sequence, Blocks: blocks})
 }
--- a/internal/lab/kvstub/server.go
+++ b/internal/lab/kvstub/server.go
@@ -13,20 +13,21 @@
 	"github.com/cloverrail/cloverrail/internal/lab/standin"
 )
 
-// Faults is what the stand-in does wrong at present.
+// Faults are the faults that the stub injects.
 type Faults struct {
-	// Outage refuses every call and ends every watch.
+	// Outage fails every call and ends every watch.
 	Outage bool `json:"outage"`
-	// Delay is added before every call.
+	// Delay is the delay before every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers is the share of transactions that take effect without answer.
-	LoseAnswers float64 `json:"loseAnswers"`
+	// DropResponses is the fraction of transactions that are committed but whose
+	// response is dropped.
+	DropResponses float64 `json:"loseAnswers"`
 }
 
-// requestsPerSecond is the rate limit of the stand-in.
+// requestsPerSecond is the rate limit of the stub.
 const requestsPerSecond = 200
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	store   *Store
 	limiter *rate.Limiter
@@ -37,21 +38,21 @@
 	calls  map[string]int
 }
 
-// New returns an empty service without faults.
+// New returns an empty key-value service without faults.
 func New() *Server {
 	server := &Server{store: NewStore(), limiter: rate.NewLimiter(requestsPerSecond, requestsPerSecond), mux: http.NewServeMux(), calls: map[string]int{}}
-	handle(server, "/v3/kv/range", func(request kvservice.RangeRequest) any { return server.store.Get(request) })
-	handle(server, "/v3/kv/txn", func(request kvservice.TxnRequest) any { return server.store.Commit(request) })
-	handle(server, "/v3/lease/grant", func(request kvservice.LeaseGrantRequest) any {
-		life := time.Duration(request.TTL) * time.Second
-		return kvservice.LeaseGrantResponse{ID: server.store.grant(life), TTL: request.TTL}
+	register(server, "/v3/kv/range", func(request kvservice.RangeRequest) any { return server.store.Get(request) })
+	register(server, "/v3/kv/txn", func(request kvservice.TxnRequest) any { return server.store.Commit(request) })
+	register(server, "/v3/lease/grant", func(request kvservice.LeaseGrantRequest) any {
+		ttl := time.Duration(request.TTL) * time.Second
+		return kvservice.LeaseGrantResponse{ID: server.store.grant(ttl), TTL: request.TTL}
 	})
-	handle(server, "/v3/lease/keepalive", func(request kvservice.LeaseKeepAliveRequest) any {
-		life := server.store.keepAlive(request.ID)
-		return kvservice.LeaseKeepAliveResponse{Result: kvservice.LeaseGrantResponse{ID: request.ID, TTL: int64(life / time.Second)}}
+	register(server, "/v3/lease/keepalive", func(request kvservice.LeaseKeepAliveRequest) any {
+		ttl := server.store.keepAlive(request.ID)
+		return kvservice.LeaseKeepAliveResponse{Result: kvservice.LeaseGrantResponse{ID: request.ID, TTL: int64(ttl / time.Second)}}
 	})
 	server.mux.HandleFunc("/v3/watch", server.watch)
-	server.mux.HandleFunc("/control/faults", server.control)
+	server.mux.HandleFunc("/control/faults", server.serveFaults)
 	return server
 }
 
@@ -62,20 +63,20 @@
 	server.faults = faults
 }
 
-// Calls counts the calls of one path so far.
+// Calls returns the number of calls of a path so far.
 func (server *Server) Calls(path string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.calls[path]
 }
 
-func (server *Server) current() Faults {
+func (server *Server) currentFaults() Faults {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.faults
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP counts a call by its path and serves it.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	server.calls[request.URL.Path]++
@@ -83,28 +84,28 @@
 	server.mux.ServeHTTP(writer, request)
 }
 
-func handle[Request any](server *Server, path string, serve func(Request) any) {
+func register[Request any](server *Server, path string, serve func(Request) any) {
 	server.mux.HandleFunc(path, func(writer http.ResponseWriter, request *http.Request) {
-		faults := server.current()
+		faults := server.currentFaults()
 		time.Sleep(faults.Delay)
 		if faults.Outage || !server.limiter.Allow() {
-			refuse(writer)
+			writeUnavailable(writer)
 			return
 		}
-		message, ok := standin.Read[Request](writer, request)
+		message, ok := standin.ReadJSON[Request](writer, request)
 		if !ok {
 			return
 		}
-		answer := serve(message)
-		if path == "/v3/kv/txn" && rand.Float64() < faults.LoseAnswers {
+		response := serve(message)
+		if path == "/v3/kv/txn" && rand.Float64() < faults.DropResponses {
 			panic(http.ErrAbortHandler)
 		}
 		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(answer)
+		_ = json.NewEncoder(writer).Encode(response)
 	})
 }
 
-func refuse(writer http.ResponseWriter) {
+func writeUnavailable(writer http.ResponseWriter) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(writer).Encode(kvservice.ErrorResponse{Message: "unavailable or over the rate limit", Code: 14})
@@ -112,24 +113,24 @@
 
 func (server *Server) watch(writer http.ResponseWriter, request *http.Request) {
 	var message kvservice.WatchRequest
-	if server.current().Outage || json.NewDecoder(request.Body).Decode(&message) != nil {
-		refuse(writer)
+	if server.currentFaults().Outage || json.NewDecoder(request.Body).Decode(&message) != nil {
+		writeUnavailable(writer)
 		return
 	}
-	opened := server.store.watch(string(message.CreateRequest.Key), message.CreateRequest.StartRevision)
-	defer server.store.unwatch(opened)
+	watcher := server.store.watch(string(message.CreateRequest.Key), message.CreateRequest.StartRevision)
+	defer server.store.unwatch(watcher)
 	encoder := json.NewEncoder(writer)
 	check := time.NewTicker(50 * time.Millisecond)
 	defer check.Stop()
 	for {
 		select {
-		case result := <-opened.events:
+		case result := <-watcher.events:
 			if encoder.Encode(kvservice.WatchResponse{Result: result}) != nil {
 				return
 			}
 			_ = http.NewResponseController(writer).Flush()
 		case <-check.C:
-			if server.current().Outage {
+			if server.currentFaults().Outage {
 				return
 			}
 		case <-request.Context().Done():
@@ -138,8 +139,8 @@
 	}
 }
 
-func (server *Server) control(writer http.ResponseWriter, request *http.Request) {
-	faults, ok := standin.Read[Faults](writer, request)
+func (server *Server) serveFaults(writer http.ResponseWriter, request *http.Request) {
+	faults, ok := standin.ReadJSON[Faults](writer, request)
 	if !ok {
 		return
 	}
--- a/internal/lab/kvstub/store.go
+++ b/internal/lab/kvstub/store.go
@@ -1,5 +1,5 @@
-// Package kvstub stands in for the platform's key-value service: the part of
-// etcd v3's published JSON mapping that cloverrail calls, with faults.
+// Package kvstub implements a stub of the platform's key-value service: the part of the
+// published JSON mapping of etcd v3 that cloverrail calls, with fault injection.
 package kvstub
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cloverrail/cloverrail/internal/kvservice"
 )
 
-// Store is the data of the stand-in, behind one lock.
+// Store holds the data of the stub. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	revision int64
@@ -20,8 +20,8 @@
 }
 
 type lease struct {
-	life    time.Duration
-	expires time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 type watcher struct {
@@ -35,8 +35,8 @@
 }
 
 func (store *Store) expire(now time.Time) {
-	for id, held := range store.leases {
-		if now.Before(held.expires) {
+	for id, current := range store.leases {
+		if now.Before(current.expiresAt) {
 			continue
 		}
 		delete(store.leases, id)
@@ -49,34 +49,34 @@
 	}
 }
 
-// Get answers a range request.
+// Get executes a range request.
 func (store *Store) Get(request kvservice.RangeRequest) kvservice.RangeResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire(time.Now())
-	answer := kvservice.RangeResponse{Header: kvservice.ResponseHeader{Revision: store.revision}}
+	response := kvservice.RangeResponse{Header: kvservice.ResponseHeader{Revision: store.revision}}
 	if len(request.RangeEnd) == 0 {
 		if pair, found := store.pairs[string(request.Key)]; found {
-			answer.Kvs = append(answer.Kvs, pair)
+			response.Kvs = append(response.Kvs, pair)
 		}
-		return answer
+		return response
 	}
 	for key, pair := range store.pairs {
 		if key >= string(request.Key) && key < string(request.RangeEnd) {
-			answer.Kvs = append(answer.Kvs, pair)
+			response.Kvs = append(response.Kvs, pair)
 		}
 	}
-	sort.Slice(answer.Kvs, func(i, j int) bool { return string(answer.Kvs[i].Key) < string(answer.Kvs[j].Key) })
-	return answer
+	sort.Slice(response.Kvs, func(i, j int) bool { return string(response.Kvs[i].Key) < string(response.Kvs[j].Key) })
+	return response
 }
 
-// Commit runs a transaction.
+// Commit executes a transaction.
 func (store *Store) Commit(request kvservice.TxnRequest) kvservice.TxnResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire(time.Now())
 	for _, condition := range request.Compare {
-		if !store.holds(condition) {
+		if !store.matches(condition) {
 			return kvservice.TxnResponse{Header: kvservice.ResponseHeader{Revision: store.revision}}
 		}
 	}
@@ -87,7 +87,7 @@
 	return kvservice.TxnResponse{Header: kvservice.ResponseHeader{Revision: store.revision}, Succeeded: true}
 }
 
-func (store *Store) holds(condition kvservice.Compare) bool {
+func (store *Store) matches(condition kvservice.Compare) bool {
 	pair := store.pairs[string(condition.Key)]
 	if condition.ModRevision != nil {
 		return pair.ModRevision == *condition.ModRevision
@@ -112,7 +112,7 @@
 	store.pairs[string(put.Key)] = pair
 	for watcher := range store.watchers {
 		if watcher.key == string(put.Key) {
-			watcher.offer(kvservice.WatchResult{
+			watcher.send(kvservice.WatchResult{
 				Header: kvservice.ResponseHeader{Revision: store.revision},
 				Events: []kvservice.WatchEvent{{Type: "PUT", Kv: pair}},
 			})
@@ -120,19 +120,20 @@
 	}
 }
 
-// offer never blocks the store: a watcher that is behind loses its watch.
-func (watcher *watcher) offer(result kvservice.WatchResult) {
+// send drops the result if the watcher's buffer is full, so that a slow watcher never
+// blocks the store.
+func (watcher *watcher) send(result kvservice.WatchResult) {
 	select {
 	case watcher.events <- result:
 	default:
 	}
 }
 
-func (store *Store) grant(life time.Duration) int64 {
+func (store *Store) grant(ttl time.Duration) int64 {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.revision++
-	store.leases[store.revision] = &lease{life: life, expires: time.Now().Add(life)}
+	store.leases[store.revision] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	return store.revision
 }
 
@@ -140,28 +141,28 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire(time.Now())
-	held, found := store.leases[id]
+	current, found := store.leases[id]
 	if !found {
 		return 0
 	}
-	held.expires = time.Now().Add(held.life)
-	return held.life
+	current.expiresAt = time.Now().Add(current.ttl)
+	return current.ttl
 }
 
 func (store *Store) watch(key string, from int64) *watcher {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	opened := &watcher{key: key, events: make(chan kvservice.WatchResult, 64)}
-	store.watchers[opened] = true
-	opened.offer(kvservice.WatchResult{Header: kvservice.ResponseHeader{Revision: store.revision}})
+	added := &watcher{key: key, events: make(chan kvservice.WatchResult, 64)}
+	store.watchers[added] = true
+	added.send(kvservice.WatchResult{Header: kvservice.ResponseHeader{Revision: store.revision}})
 	if pair, found := store.pairs[key]; found && from > 0 && pair.ModRevision >= from {
-		opened.offer(kvservice.WatchResult{Events: []kvservice.WatchEvent{{Type: "PUT", Kv: pair}}})
+		added.send(kvservice.WatchResult{Events: []kvservice.WatchEvent{{Type: "PUT", Kv: pair}}})
 	}
-	return opened
+	return added
 }
 
-func (store *Store) unwatch(closed *watcher) {
+func (store *Store) unwatch(removed *watcher) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	delete(store.watchers, closed)
+	delete(store.watchers, removed)
 }
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -11,41 +11,42 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Kind tells requests apart.
+// Kind is the kind of a request.
 type Kind string
 
-// The kinds of requests.
+// The kinds of requests: streaming and non-streaming completions, and non-idempotent
+// requests to a plain service.
 const (
-	Streamed Kind = "streamed"
-	Whole    Kind = "whole"
-	Once     Kind = "once"
+	Streaming    Kind = "streamed"
+	NonStreaming Kind = "whole"
+	AtMostOnce   Kind = "once"
 )
 
-// Record is one request and what came of it.
+// Record is a request and its result.
 type Record struct {
 	ID     string
 	Kind   Kind
 	Tenant string
 	Node   int
 	Status int
-	// Outcome is what a refusal claimed; empty for answers.
+	// Outcome is the outcome that a rejection reports; it is empty on success.
 	Outcome string
-	// Code is the kind of a refusal.
+	// Code is the error code of a rejection.
 	Code string
-	// RetryAfter is the header of a refusal.
+	// RetryAfter is the Retry-After header of a rejection.
 	RetryAfter string
-	// Complete says that the answer had its explicit end.
+	// Complete reports whether the response ended with its end marker.
 	Complete bool
-	// Correct says that the answer was the one that belongs to the request.
+	// Correct reports whether the response has the content expected for the request.
 	Correct    bool
 	Started    time.Time
 	FirstToken time.Duration
 	Elapsed    time.Duration
 	Usage      *engineapi.Usage
-	// Ended is when the record was closed.
+	// Ended is when the request ended.
 	Ended time.Time
-	// Broke says that the connection ended without an answer or an end.
-	Broke bool
+	// ConnectionBroken reports whether the connection ended before the response did.
+	ConnectionBroken bool
 }
 
 func (record *Record) close() {
@@ -53,37 +54,37 @@
 	record.Elapsed = record.Ended.Sub(record.Started)
 }
 
-// note reads the code of a refusal.
-func (record *Record) note(text []byte) {
+// parseError reads the error code of a rejection.
+func (record *Record) parseError(text []byte) {
 	if record.Status == http.StatusOK {
 		return
 	}
-	var refusal struct {
+	var response struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	if json.Unmarshal(text, &refusal) == nil {
-		record.Code = refusal.Error.Code
+	if json.Unmarshal(text, &response) == nil {
+		record.Code = response.Error.Code
 	}
 }
 
-func (record *Record) whole(body io.Reader) string {
+func (record *Record) readResponse(body io.Reader) string {
 	text, err := io.ReadAll(body)
-	record.Broke = err != nil
-	record.note(text)
-	var answer engineapi.Chunk
-	if err != nil || json.Unmarshal(text, &answer) != nil || len(answer.Choices) == 0 {
+	record.ConnectionBroken = err != nil
+	record.parseError(text)
+	var response engineapi.Chunk
+	if err != nil || json.Unmarshal(text, &response) != nil || len(response.Choices) == 0 {
 		return ""
 	}
 	record.Complete = true
-	record.Usage = answer.Usage
+	record.Usage = response.Usage
 	record.FirstToken = time.Since(record.Started)
-	return answer.Choices[0].Content()
+	return response.Choices[0].Content()
 }
 
-// stream reads server-sent events of one line each, as the nodes write them.
-func (record *Record) stream(body io.Reader) string {
+// readStream reads server-sent events whose data is on a single line, as nodes write it.
+func (record *Record) readStream(body io.Reader) string {
 	received := &strings.Builder{}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
@@ -97,7 +98,7 @@
 		case strings.HasPrefix(data, `{"error"`):
 			failed = true
 			record.Status = http.StatusBadGateway
-			record.noteEvent([]byte(data))
+			record.parseErrorEvent([]byte(data))
 		default:
 			var chunk engineapi.Chunk
 			if json.Unmarshal([]byte(data), &chunk) != nil {
@@ -114,11 +115,11 @@
 			}
 		}
 	}
-	record.Broke = !record.Complete && !failed
+	record.ConnectionBroken = !record.Complete && !failed
 	return received.String()
 }
 
-func (record *Record) noteEvent(data []byte) {
+func (record *Record) parseErrorEvent(data []byte) {
 	var event struct {
 		Error struct {
 			Code    string `json:"code"`
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -10,33 +10,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary condenses a history.
+// Summary holds aggregate results of a history.
 type Summary struct {
-	Requests   int
-	Answered   int
-	Wrong      int
-	Broken     int
-	HitRate    float64
-	Recomputed int
-	FirstToken *hdrhistogram.Histogram
-	Refusals   map[string]int
+	Requests         int
+	Answered         int
+	Incorrect        int
+	Broken           int
+	HitRate          float64
+	RecomputedTokens int
+	FirstToken       *hdrhistogram.Histogram
+	Refusals         map[string]int
 }
 
-const longest = int64(time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
-// Summarize condenses a history.
+// Summarize returns the aggregate results of a history.
 func Summarize(history []Record) Summary {
-	summary := Summary{FirstToken: hdrhistogram.New(1, longest, 3), Refusals: map[string]int{}}
+	summary := Summary{FirstToken: hdrhistogram.New(1, maxLatencyMicros, 3), Refusals: map[string]int{}}
 	prompt, cached := 0, 0
 	for _, record := range history {
 		summary.Requests++
 		switch {
-		case record.Broke:
+		case record.ConnectionBroken:
 			summary.Broken++
 		case record.Status != 200:
 			summary.Refusals[fmt.Sprintf("%s (%s)", record.Code, record.Outcome)]++
 		case !record.Complete || !record.Correct:
-			summary.Wrong++
+			summary.Incorrect++
 		default:
 			summary.Answered++
 		}
@@ -44,11 +44,11 @@
 			prompt += record.Usage.PromptTokens
 			cached += record.Usage.Details.CachedTokens
 		}
-		if record.FirstToken > 0 && record.Kind == Streamed {
+		if record.FirstToken > 0 && record.Kind == Streaming {
 			_ = summary.FirstToken.RecordValue(int64(record.FirstToken / time.Microsecond))
 		}
 	}
-	summary.Recomputed = prompt - cached
+	summary.RecomputedTokens = prompt - cached
 	if prompt > 0 {
 		summary.HitRate = float64(cached) / float64(prompt)
 	}
@@ -61,10 +61,10 @@
 	row := func(name string, value any) { fmt.Fprintf(columns, "%s\t%v\n", name, value) }
 	row("requests", summary.Requests)
 	row("answered whole and right", summary.Answered)
-	row("wrong or incomplete", summary.Wrong)
+	row("wrong or incomplete", summary.Incorrect)
 	row("connection broke", summary.Broken)
 	row("prefix hit rate", fmt.Sprintf("%.1f %%", 100*summary.HitRate))
-	row("recomputed tokens", summary.Recomputed)
+	row("recomputed tokens", summary.RecomputedTokens)
 	for _, quantile := range []float64{50, 95, 99} {
 		value := time.Duration(summary.FirstToken.ValueAtQuantile(quantile)) * time.Microsecond
 		row(fmt.Sprintf("first token p%.0f", quantile), value.Round(100*time.Microsecond))
--- a/internal/lab/machinestub/server.go
+++ b/internal/lab/machinestub/server.go
@@ -1,5 +1,5 @@
-// Package machinestub stands in for the platform's list of machines, which lags
-// behind reality.
+// Package machinestub implements a stub of the platform's machine list, which reports
+// changes with a delay.
 package machinestub
 
 import (
@@ -11,39 +11,40 @@
 	"github.com/cloverrail/cloverrail/internal/lab/standin"
 )
 
-// Machine is one entry.
+// Machine is an entry of the machine list.
 type Machine struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 	Epoch string `json:"epoch"`
 }
 
-type change struct {
-	at      time.Time
+type update struct {
+	setAt   time.Time
 	machine Machine
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	lag     time.Duration
 	mutex   sync.Mutex
-	changes []change
+	updates []update
 }
 
-// New returns an empty list that lags by the given time.
+// New returns an empty list that reports changes after the given lag.
 func New(lag time.Duration) *Server { return &Server{lag: lag} }
 
-// Set changes an entry; readers see it after the lag.
+// Set changes an entry; clients see the change after the lag.
 func (server *Server) Set(machine Machine) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.changes = append(server.changes, change{at: time.Now(), machine: machine})
+	server.updates = append(server.updates, update{setAt: time.Now(), machine: machine})
 }
 
-// ServeHTTP answers GET /machines and takes POST /machines.
+// ServeHTTP serves GET /machines, which returns the list, and POST /machines, which changes
+// an entry.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodPost {
-		machine, ok := standin.Read[Machine](writer, request)
+		machine, ok := standin.ReadJSON[Machine](writer, request)
 		if !ok {
 			return
 		}
@@ -57,17 +58,17 @@
 func (server *Server) visible(now time.Time) []Machine {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	latest := map[string]int{}
+	indexByName := map[string]int{}
 	machines := []Machine{}
-	for _, item := range server.changes {
-		if now.Sub(item.at) < server.lag {
+	for _, item := range server.updates {
+		if now.Sub(item.setAt) < server.lag {
 			continue
 		}
-		if index, found := latest[item.machine.Name]; found {
+		if index, found := indexByName[item.machine.Name]; found {
 			machines[index] = item.machine
 			continue
 		}
-		latest[item.machine.Name] = len(machines)
+		indexByName[item.machine.Name] = len(machines)
 		machines = append(machines, item.machine)
 	}
 	return machines
--- a/internal/lab/plainstub/server.go
+++ b/internal/lab/plainstub/server.go
@@ -1,5 +1,5 @@
-// Package plainstub stands in for a plain service, such as turn submission. It
-// logs every request that it runs.
+// Package plainstub implements a stub of a plain service, such as turn submission. It logs
+// every request that it runs.
 package plainstub
 
 import (
@@ -14,60 +14,62 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Execution is one line of the log.
+// Execution is an entry of the log of executed requests.
 type Execution struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Body is the request's body, by which a test knows its own requests.
+	// Body is the request body, by which tests identify their requests.
 	Body string `json:"body"`
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
-	epoch   string
-	work    time.Duration
-	mutex   sync.Mutex
-	leaving bool
-	// cut ends this many requests without an answer after they ran.
-	cut        int
-	executions []Execution
+	epoch       string
+	serviceTime time.Duration
+	mutex       sync.Mutex
+	draining    bool
+	// dropResponses is the number of requests whose responses will be dropped.
+	dropResponses int
+	executions    []Execution
 }
 
-// New returns a service whose requests take the given time.
-func New(work time.Duration) *Server { return &Server{epoch: uuid.NewString(), work: work} }
+// New returns a service whose requests take serviceTime.
+func New(serviceTime time.Duration) *Server {
+	return &Server{epoch: uuid.NewString(), serviceTime: serviceTime}
+}
 
-// CutAnswers makes the next requests run without an answer.
-func (server *Server) CutAnswers(count int) {
+// DropResponses makes the server run the next count requests without responding.
+func (server *Server) DropResponses(count int) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.cut = count
+	server.dropResponses = count
 }
 
-// SetLeaving makes the server refuse new work.
-func (server *Server) SetLeaving(leaving bool) {
+// SetDraining makes the server reject new requests.
+func (server *Server) SetDraining(draining bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.leaving = leaving
+	server.draining = draining
 }
 
-// Executions returns the log.
+// Executions returns the log of executed requests.
 func (server *Server) Executions() []Execution {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return append([]Execution(nil), server.executions...)
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP serves the status and control endpoints and runs all other requests.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case engineapi.PathStatus:
 		server.mutex.Lock()
 		defer server.mutex.Unlock()
-		_ = json.NewEncoder(writer).Encode(engineapi.Status{Epoch: server.epoch, Leaving: server.leaving})
+		_ = json.NewEncoder(writer).Encode(engineapi.Status{Epoch: server.epoch, Leaving: server.draining})
 	case "/control/log":
 		_ = json.NewEncoder(writer).Encode(server.Executions())
 	case "/control/cut":
-		server.CutAnswers(1)
+		server.DropResponses(1)
 	default:
 		server.run(writer, request)
 	}
@@ -79,20 +81,20 @@
 		return
 	}
 	server.mutex.Lock()
-	if server.leaving {
+	if server.draining {
 		server.mutex.Unlock()
-		writer.Header().Set(engineapi.HeaderRefused, "leaving")
+		writer.Header().Set(engineapi.HeaderNotStarted, "leaving")
 		http.Error(writer, "leaving", http.StatusServiceUnavailable)
 		return
 	}
 	server.executions = append(server.executions, Execution{Method: request.Method, Path: request.URL.Path, Body: string(body)})
-	cut := server.cut > 0
-	if cut {
-		server.cut--
+	drop := server.dropResponses > 0
+	if drop {
+		server.dropResponses--
 	}
 	server.mutex.Unlock()
-	time.Sleep(server.work)
-	if cut {
+	time.Sleep(server.serviceTime)
+	if drop {
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set(engineapi.HeaderAttempt, request.Header.Get(engineapi.HeaderAttempt))
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -1,5 +1,5 @@
-// Package storestub is an in-memory stand-in for the shared store that nodes
-// coordinate by. Its calls can be made to fail, with or without taking effect.
+// Package storestub implements an in-memory stub of the store through which nodes
+// coordinate. Its calls can be made to fail, with or without taking effect.
 package storestub
 
 import (
@@ -14,32 +14,32 @@
 	"github.com/cloverrail/cloverrail/internal/coordination"
 )
 
-// Fault is what becomes of one call.
+// Fault is a fault that the stub injects into a call.
 type Fault int
 
 // The faults.
 const (
-	// None lets the call through.
-	None Fault = iota
-	// Refused does nothing and answers with an error.
-	Refused
-	// Lost does what was asked and answers with an error.
-	Lost
+	// FaultNone executes the call normally.
+	FaultNone Fault = iota
+	// FaultUnavailable returns an error without executing the call.
+	FaultUnavailable
+	// FaultLostResponse executes the call and returns an error.
+	FaultLostResponse
 )
 
-var errFault = errors.New("the store gave no answer")
+var errUnavailable = errors.New("the store gave no answer")
 
-// lease is a lease and when it lapses.
+// lease is a lease with its time to live and expiry.
 type lease struct {
-	life  time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is the stand-in. Its clock is the caller's.
+// Store is an in-memory store whose clock is supplied by the caller.
 type Store struct {
 	mutex    sync.Mutex
 	now      func() time.Time
-	fault    func(call string) Fault
+	faultOf  func(call string) Fault
 	era      int64
 	revision int64
 	leases   map[int64]*lease
@@ -51,116 +51,117 @@
 	lease int64
 }
 
-// New returns an empty store. Fault says what becomes of each call; nil means
-// that all succeed.
-func New(now func() time.Time, fault func(call string) Fault) *Store {
-	if fault == nil {
-		fault = func(string) Fault { return None }
+// New returns an empty store. It calls faultOf to choose the fault of each call; nil
+// means that no call fails.
+func New(now func() time.Time, faultOf func(call string) Fault) *Store {
+	if faultOf == nil {
+		faultOf = func(string) Fault { return FaultNone }
 	}
-	return &Store{now: now, fault: fault, era: 1, leases: map[int64]*lease{}, entries: map[string]entry{}}
+	return &Store{now: now, faultOf: faultOf, era: 1, leases: map[int64]*lease{}, entries: map[string]entry{}}
 }
 
-// Era returns the era of the store.
+// Era returns the current era of the store.
 func (store *Store) Era() int64 {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.era
 }
 
-// Copy is what a store held at some moment.
-type Copy struct {
+// Snapshot is the content of a store at some time.
+type Snapshot struct {
 	revision int64
 	leases   map[int64]lease
 	entries  map[string]entry
 }
 
-// Copy returns what the store holds now.
-func (store *Store) Copy() Copy {
+// Snapshot returns the current content of the store.
+func (store *Store) Snapshot() Snapshot {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
-	c := Copy{revision: store.revision, leases: map[int64]lease{}, entries: maps.Clone(store.entries)}
-	for id, held := range store.leases {
-		c.leases[id] = *held
+	snapshot := Snapshot{revision: store.revision, leases: map[int64]lease{}, entries: maps.Clone(store.entries)}
+	for id, current := range store.leases {
+		snapshot.leases[id] = *current
 	}
-	return c
+	return snapshot
 }
 
-// GoBack lets the store come back from a copy, in the next era. The copy's leases count from now.
-func (store *Store) GoBack(c Copy) {
+// Restore replaces the content of the store by a snapshot and starts the next era. The
+// leases of the snapshot are renewed.
+func (store *Store) Restore(snapshot Snapshot) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.era++
-	store.revision, store.entries, store.leases = c.revision, maps.Clone(c.entries), map[int64]*lease{}
-	for id, held := range c.leases {
-		store.leases[id] = &lease{life: held.life, until: store.now().Add(held.life)}
+	store.revision, store.entries, store.leases = snapshot.revision, maps.Clone(snapshot.entries), map[int64]*lease{}
+	for id, saved := range snapshot.leases {
+		store.leases[id] = &lease{ttl: saved.ttl, expiresAt: store.now().Add(saved.ttl)}
 	}
 }
 
-// run performs one call under its fault.
-func (store *Store) run(call string, perform func()) error {
+// call executes an operation subject to the fault chosen for it.
+func (store *Store) call(operation string, perform func()) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	fault := store.fault(call)
-	if fault == Refused {
-		return errFault
+	fault := store.faultOf(operation)
+	if fault == FaultUnavailable {
+		return errUnavailable
 	}
 	store.expire()
 	perform()
-	if fault == Lost {
-		return errFault
+	if fault == FaultLostResponse {
+		return errUnavailable
 	}
 	return nil
 }
 
-// expire drops lapsed leases with their keys.
+// expire removes expired leases with their keys.
 func (store *Store) expire() {
-	for id, held := range store.leases {
-		if !store.now().Before(held.until) {
-			store.drop(id)
+	for id, current := range store.leases {
+		if !store.now().Before(current.expiresAt) {
+			store.revoke(id)
 		}
 	}
 }
 
-func (store *Store) drop(id int64) {
+func (store *Store) revoke(id int64) {
 	delete(store.leases, id)
-	for key, known := range store.entries {
-		if known.lease == id {
+	for key, current := range store.entries {
+		if current.lease == id {
 			delete(store.entries, key)
 			store.revision++
 		}
 	}
 }
 
-// Grant opens a lease.
-func (store *Store) Grant(_ context.Context, life time.Duration) (granted coordination.Lease, err error) {
-	err = store.run("grant", func() {
+// Grant creates a lease.
+func (store *Store) Grant(_ context.Context, ttl time.Duration) (granted coordination.Lease, err error) {
+	err = store.call("grant", func() {
 		store.revision++
-		store.leases[store.revision] = &lease{life: life, until: store.now().Add(life)}
-		granted = coordination.Lease{ID: store.revision, TTL: life}
+		store.leases[store.revision] = &lease{ttl: ttl, expiresAt: store.now().Add(ttl)}
+		granted = coordination.Lease{ID: store.revision, TTL: ttl}
 	})
 	return granted, err
 }
 
-// Renew keeps a lease.
+// Renew extends a lease and reports whether it still existed.
 func (store *Store) Renew(_ context.Context, id int64) (alive bool, err error) {
-	err = store.run("renew", func() {
-		held := store.leases[id]
-		if alive = held != nil; alive {
-			held.until = store.now().Add(held.life)
+	err = store.call("renew", func() {
+		current := store.leases[id]
+		if alive = current != nil; alive {
+			current.expiresAt = store.now().Add(current.ttl)
 		}
 	})
 	return alive, err
 }
 
-// End gives a lease back.
+// Revoke removes a lease with its keys.
 func (store *Store) Revoke(_ context.Context, id int64) error {
-	return store.run("end", func() { store.drop(id) })
+	return store.call("end", func() { store.revoke(id) })
 }
 
-// Create writes a key that does not exist.
+// Create writes a key under a lease if the key does not exist and the lease does.
 func (store *Store) Create(_ context.Context, key string, value []byte, leaseID int64) (at coordination.Position, created bool, err error) {
-	err = store.run("create", func() {
+	err = store.call("create", func() {
 		_, exists := store.entries[key]
 		if created = !exists && store.leases[leaseID] != nil; created {
 			at = store.put(key, value, leaseID)
@@ -176,9 +177,9 @@
 	return written.Position()
 }
 
-// Write writes a key, whatever it holds.
+// Write writes a key unconditionally if its lease exists.
 func (store *Store) Write(_ context.Context, key string, value []byte, leaseID int64) (written bool, err error) {
-	err = store.run("write", func() {
+	err = store.call("write", func() {
 		if written = store.leases[leaseID] != nil; written {
 			store.put(key, value, leaseID)
 		}
@@ -186,9 +187,9 @@
 	return written, err
 }
 
-// WriteGuarded writes a key if the guard is still at its revision.
+// WriteGuarded writes a key if the guard key is still at the given position.
 func (store *Store) WriteGuarded(_ context.Context, key string, value []byte, guard string, at coordination.Position) (written bool, err error) {
-	err = store.run("write", func() {
+	err = store.call("write", func() {
 		if written = store.entries[guard].Position() == at; written {
 			store.put(key, value, 0)
 		}
@@ -198,22 +199,22 @@
 
 // Read returns the current entry of a key.
 func (store *Store) Read(_ context.Context, key string) (found coordination.Entry, exists bool, err error) {
-	err = store.run("read", func() {
-		known, present := store.entries[key]
-		found, exists = known.Entry, present
+	err = store.call("read", func() {
+		current, present := store.entries[key]
+		found, exists = current.Entry, present
 	})
 	return found, exists, err
 }
 
-// Entries returns all entries below a prefix.
+// Entries returns all entries whose key has the prefix.
 func (store *Store) Entries(prefix string) []coordination.Entry {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
 	entries := []coordination.Entry{}
-	for key, known := range store.entries {
+	for key, current := range store.entries {
 		if strings.HasPrefix(key, prefix) {
-			entries = append(entries, known.Entry)
+			entries = append(entries, current.Entry)
 		}
 	}
 	return entries
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -157,7 +157,7 @@
 func TestLeadersActHandoverDelayApart(test *testing.T) {
 	property.Check(test, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]storestub.Fault{
-			storestub.None, storestub.None, storestub.None, storestub.Refused, storestub.Lost,
+			storestub.FaultNone, storestub.FaultNone, storestub.FaultNone, storestub.FaultUnavailable, storestub.FaultLostResponse,
 		}), 40, 40).Draw(t, "faults")
 		deaths := rapid.SliceOfN(rapid.IntRange(500, 6000), 3, 3).Draw(t, "deaths")
 		fleet := &fleet{}
@@ -177,7 +177,7 @@
 		if calls < len(faults) {
 			return faults[calls]
 		}
-		return storestub.None
+		return storestub.FaultNone
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -216,9 +216,9 @@
 			for i, wait := range times {
 				age := min(ages[i], wait)
 				time.Sleep(time.Duration(wait-age) * time.Millisecond)
-				backup := fleet.store.Copy()
+				backup := fleet.store.Snapshot()
 				time.Sleep(time.Duration(age) * time.Millisecond)
-				fleet.store.GoBack(backup)
+				fleet.store.Restore(backup)
 			}
 			lastFaultAt = time.Now()
 			if last := startedAt.Add(time.Duration(slices.Max(deaths)) * time.Millisecond); last.After(lastFaultAt) {
@@ -264,15 +264,15 @@
 // clock did not advance meanwhile, and another leader may be active.
 func TestSuspendedLeaderActsOnlyAfterRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine, restore := suspension.Begin()
+		machine, restore := suspension.Install()
 		defer restore()
 		unavailable := atomic.Bool{}
 		fleet := &fleet{}
 		fleet.store = storestub.New(time.Now, func(string) storestub.Fault {
 			if unavailable.Load() {
-				return storestub.Refused
+				return storestub.FaultUnavailable
 			}
-			return storestub.None
+			return storestub.FaultNone
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -334,9 +334,9 @@
 		lost := atomic.Bool{}
 		fleet.store = storestub.New(time.Now, func(call string) storestub.Fault {
 			if lost.Load() && call == "renew" {
-				return storestub.Lost
+				return storestub.FaultLostResponse
 			}
-			return storestub.None
+			return storestub.FaultNone
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -397,13 +397,13 @@
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		backup, blocked := fleet.store.Copy(), &atomic.Bool{}
+		backup, blocked := fleet.store.Snapshot(), &atomic.Bool{}
 		fleet.startWithStore(ctx, "a", nil, func(s coordination.Store) coordination.Store { return blockingRenewStore{s, blocked} })
 		time.Sleep(time.Second)
 		survivor := fleet.start(ctx, "survivor", nil)
 		require.Equal(t, "a", fleet.last().node)
 		blocked.Store(true)
-		fleet.store.GoBack(backup)
+		fleet.store.Restore(backup)
 		time.Sleep(3*ttl + handoverDelay)
 		require.True(t, survivor.hasWork.Load())
 		fleet.checkActions(t)
@@ -422,14 +422,14 @@
 		defer stop()
 		nodeCtx, kill := context.WithCancel(ctx)
 		fleet.start(nodeCtx, "a", nil)
-		backup := fleet.store.Copy()
+		backup := fleet.store.Snapshot()
 		time.Sleep(500 * time.Millisecond)
 		fleet.start(ctx, "survivor", nil)
-		fleet.store.GoBack(backup)
+		fleet.store.Restore(backup)
 		kill()
 		// The next backup holds the waiting leader's lease.
 		time.Sleep(100 * time.Millisecond)
-		fleet.store.GoBack(fleet.store.Copy())
+		fleet.store.Restore(fleet.store.Snapshot())
 		time.Sleep(3*ttl + 2*handoverDelay)
 		fleet.checkActions(t)
 		require.Equal(t, "survivor", fleet.last().node)
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkMembership reports what the membership of one node costs in a second
-// of steady state: processor time, bytes sent, and memory.
-func BenchmarkMembership(b *testing.B) {
+// BenchmarkSteadyState reports the cost per node and second in a stable fleet:
+// processor time, bytes transferred, and memory.
+func BenchmarkSteadyState(b *testing.B) {
 	for _, nodes := range []int{10, 100, 340} {
 		b.Run(fmt.Sprint(nodes, "nodes"), func(b *testing.B) {
 			var before, after runtime.MemStats
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkSpread reports how long a revision takes to reach the last node, in
-// virtual time, and how many bytes that cost each node.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkRevisionPropagation reports the virtual time that a revision takes to
+// reach the last node.
+func BenchmarkRevisionPropagation(b *testing.B) {
 	for _, nodes := range []int{10, 100, 340} {
 		b.Run(fmt.Sprint(nodes, "nodes"), func(b *testing.B) {
 			network := newNetwork(Config{Nodes: nodes, Seed: 1, Zones: 5, Delay: 2 * time.Millisecond, Loss: 0.02})
@@ -50,14 +50,14 @@
 			revision, slowest := int64(0), time.Duration(0)
 			for b.Loop() {
 				revision++
-				begin := network.Now
-				network.Adopt(int(revision)%nodes, revision)
+				start := network.Now
+				network.ActivateRevision(int(revision)%nodes, revision)
 				network.Run(3 * time.Second)
 				for _, node := range network.Nodes {
 					if node.Revision < revision {
 						b.Fatalf("a node is still at revision %d", node.Revision)
 					}
-					slowest = max(slowest, node.AdoptedAt.Sub(begin))
+					slowest = max(slowest, node.ActivatedAt.Sub(start))
 				}
 			}
 			b.ReportMetric(float64(slowest.Milliseconds()), "ms-slowest")
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -7,15 +7,17 @@
 	"time"
 )
 
-// TickInterval is how often drivers call Tick.
+// TickInterval is the interval at which drivers call Tick.
 const TickInterval = 100 * time.Millisecond
 
+// entry is a member's record with the time of its last change. After a pause of
+// this node, changedAt is the end of the pause.
 type entry struct {
-	member Member
-	since  time.Time
+	member    Member
+	changedAt time.Time
 }
 
-// Machine is one node's view.
+// Machine holds one node's view of the members and its protocol state.
 type Machine struct {
 	config   Config
 	random   *rand.Rand
@@ -23,39 +25,40 @@
 	seeds    []string
 	revision int64
 
-	members  map[string]*entry
-	items    map[string]Item
-	order    []string
-	news     map[string]*news
-	sequence uint64
-	probe    *probe
-	relays   map[uint64]relay
-	lastTick time.Time
-	nextAt   time.Time
-	periods  int
+	members      map[string]*entry
+	items        map[string]Item
+	probeOrder   []string
+	broadcasts   map[string]*broadcast
+	sequence     uint64
+	probe        *probe
+	relays       map[uint64]relay
+	lastTick     time.Time
+	nextProbeAt  time.Time
+	probePeriods int
 }
 
-// NewMachine returns the machine of a node. The incarnation must be above that
-// of an earlier process at the address; a start time in milliseconds is.
+// NewMachine returns the machine of a node. The incarnation of self must be higher
+// than that of any earlier process at the address, such as a start time in
+// milliseconds.
 func NewMachine(config Config, self Member, seeds []string, random *rand.Rand) *Machine {
 	machine := &Machine{
-		config:  config,
-		random:  random,
-		self:    self,
-		seeds:   seeds,
-		members: map[string]*entry{},
-		items:   map[string]Item{},
-		news:    map[string]*news{},
-		relays:  map[uint64]relay{},
+		config:     config,
+		random:     random,
+		self:       self,
+		seeds:      seeds,
+		members:    map[string]*entry{},
+		items:      map[string]Item{},
+		broadcasts: map[string]*broadcast{},
+		relays:     map[uint64]relay{},
 	}
-	machine.announce()
+	machine.broadcastSelf()
 	return machine
 }
 
-// Self returns what this node says of itself.
+// Self returns this node's own record.
 func (machine *Machine) Self() Member { return machine.self }
 
-// Members lists this node and all others that are known, by address.
+// Members returns this node and all known members, ordered by address.
 func (machine *Machine) Members() []Member {
 	members := []Member{machine.self}
 	for _, known := range machine.members {
@@ -65,40 +68,40 @@
 	return members
 }
 
-// SetRevision tells the machine the revision of the configuration in force; a
-// higher one is passed on at once.
+// SetRevision sets the revision of the configuration in force. A higher one is
+// gossiped immediately.
 func (machine *Machine) SetRevision(revision int64) Output {
 	if revision <= machine.revision {
 		return Output{}
 	}
 	machine.revision = revision
-	return Output{Messages: machine.urgent()}
+	return Output{Messages: machine.gossipMessages()}
 }
 
-// Offer spreads an item that this node made.
-func (machine *Machine) Offer(item Item) Output {
-	if !machine.keepItem(item) {
+// BroadcastItem gossips an item that this node created.
+func (machine *Machine) BroadcastItem(item Item) Output {
+	if !machine.storeItem(item) {
 		return Output{}
 	}
-	return Output{Messages: machine.urgent()}
+	return Output{Messages: machine.gossipMessages()}
 }
 
-// Drain announces that this node wants no new work.
+// Drain announces that this node accepts no new work.
 func (machine *Machine) Drain() Output {
 	machine.self.Draining = true
 	machine.self.Incarnation++
-	machine.announce()
-	return Output{Messages: machine.urgent()}
+	machine.broadcastSelf()
+	return Output{Messages: machine.gossipMessages()}
 }
 
-// Leave announces the end of this node.
+// Leave announces that this node is shutting down.
 func (machine *Machine) Leave() Output {
 	machine.self.Status = Left
-	machine.announce()
-	return Output{Messages: machine.urgent()}
+	machine.broadcastSelf()
+	return Output{Messages: machine.gossipMessages()}
 }
 
-// Items lists all items held, by key.
+// Items returns all items, ordered by key.
 func (machine *Machine) Items() []Item {
 	items := make([]Item, 0, len(machine.items))
 	for _, item := range machine.items {
@@ -108,46 +111,46 @@
 	return items
 }
 
-// Tick advances time.
+// Tick processes the timers that are due at now.
 func (machine *Machine) Tick(now time.Time) Output {
 	output := Output{}
-	if !machine.lastTick.IsZero() && now.Sub(machine.lastTick) > machine.config.PauseLimit {
-		machine.resume(now, &output)
+	if !machine.lastTick.IsZero() && now.Sub(machine.lastTick) > machine.config.PauseThreshold {
+		machine.handlePause(now, &output)
 	}
 	machine.lastTick = now
 	machine.expire(now, &output)
-	machine.probeIndirectly(now, &output)
-	if !now.Before(machine.nextAt) {
-		machine.nextAt = now.Add(machine.config.Period)
+	machine.sendIndirectProbes(now, &output)
+	if !now.Before(machine.nextProbeAt) {
+		machine.nextProbeAt = now.Add(machine.config.Period)
 		machine.endProbe(now, &output)
 		machine.startProbe(now, &output)
 	}
 	return output
 }
 
-// resume handles a pause of this node itself. Its own timers say nothing about
-// others then, and others may have declared it dead.
-func (machine *Machine) resume(now time.Time, output *Output) {
+// handlePause handles a pause of this process. Its timers then say nothing about
+// other members, and others may have declared it dead.
+func (machine *Machine) handlePause(now time.Time, output *Output) {
 	machine.probe = nil
 	for _, known := range machine.members {
-		known.since = now
+		known.changedAt = now
 	}
 	machine.self.Incarnation++
-	machine.announce()
-	output.Messages = append(output.Messages, machine.urgent()...)
+	machine.broadcastSelf()
+	output.Messages = append(output.Messages, machine.gossipMessages()...)
 	output.Changes = append(output.Changes, Change{Resumed: true})
 }
 
 func (machine *Machine) expire(now time.Time, output *Output) {
 	for address, known := range machine.members {
 		switch {
-		case known.member.Status == Suspect && now.Sub(known.since) >= machine.suspicion():
+		case known.member.Status == Suspect && now.Sub(known.changedAt) >= machine.suspicionTimeout():
 			dead := known.member
 			dead.Status = Dead
-			machine.take(now, []Member{dead}, nil, output)
-		case known.member.Status >= Dead && now.Sub(known.since) >= machine.config.ForgetAfter:
+			machine.apply(now, []Member{dead}, nil, output)
+		case known.member.Status >= Dead && now.Sub(known.changedAt) >= machine.config.DeadRetention:
 			delete(machine.members, address)
-			delete(machine.news, "member/"+address)
+			delete(machine.broadcasts, "member/"+address)
 		}
 	}
 	for sequence, pending := range machine.relays {
@@ -157,33 +160,35 @@
 	}
 }
 
-func (machine *Machine) suspicion() time.Duration {
-	return time.Duration(float64(machine.config.SuspicionPeriods)*machine.magnitude()) * machine.config.Period
+// suspicionTimeout returns the time that a suspect has to refute its suspicion.
+func (machine *Machine) suspicionTimeout() time.Duration {
+	return time.Duration(float64(machine.config.SuspicionFactor)*machine.logSize()) * machine.config.Period
 }
 
-// magnitude is log10 of the size, at least 1: how far news has to travel.
-func (machine *Machine) magnitude() float64 {
+// logSize returns the base-10 logarithm of the fleet size, at least 1. The number
+// of gossip rounds until an update reaches all members grows with it.
+func (machine *Machine) logSize() float64 {
 	return math.Max(1, math.Log10(float64(len(machine.members)+1)))
 }
 
-// Receive takes one message.
+// Receive processes one message.
 func (machine *Machine) Receive(now time.Time, message Message) Output {
 	output := Output{}
-	machine.take(now, message.Members, message.Items, &output)
+	machine.apply(now, message.Members, message.Items, &output)
 	if message.Revision > machine.revision {
 		output.Changes = append(output.Changes, Change{Revision: message.Revision, From: message.From})
 	}
 	switch message.Kind {
 	case Ping:
-		answer := machine.message(Ack, message.From, message.Sequence)
-		machine.tellSuspect(message.From, &answer)
-		output.Messages = append(output.Messages, answer)
+		ack := machine.newMessage(Ack, message.From, message.Sequence)
+		machine.attachSuspicion(message.From, &ack)
+		output.Messages = append(output.Messages, ack)
 	case PingRequest:
 		sequence := machine.nextSequence()
 		machine.relays[sequence] = relay{origin: message.From, sequence: message.Sequence, expires: now.Add(machine.config.Period)}
-		output.Messages = append(output.Messages, machine.message(Ping, message.Target, sequence))
+		output.Messages = append(output.Messages, machine.newMessage(Ping, message.Target, sequence))
 	case Ack:
-		machine.acknowledged(message, &output)
+		machine.handleAck(message, &output)
 	}
 	return output
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Merge takes a whole view from a peer, as after a join. What it brings is not
-// passed on as news: the peer's fleet knows it, and a joining node that told
-// everyone about everyone would cost a hundred times its steady rate.
+// Merge applies a complete view received from a peer, as after a join. Its
+// contents are not gossiped: the peer's fleet knows them already, and a joining
+// node that gossiped every member would send a hundred times its usual traffic.
 func (machine *Machine) Merge(now time.Time, members []Member, items []Item) Output {
 	output := Output{}
-	before := machine.news
-	machine.news = map[string]*news{}
-	machine.take(now, members, items, &output)
-	own := "member/" + machine.self.Address
-	if told, found := machine.news[own]; found {
-		before[own] = told
+	queued := machine.broadcasts
+	machine.broadcasts = map[string]*broadcast{}
+	machine.apply(now, members, items, &output)
+	selfKey := "member/" + machine.self.Address
+	if b, found := machine.broadcasts[selfKey]; found {
+		queued[selfKey] = b
 	}
-	machine.news = before
+	machine.broadcasts = queued
 	return output
 }
 
-// Digest is equal for two machines that believe the same of all who live, and
-// hold the same items. Suspicion does not count: it passes.
+// Digest returns a value that is equal for two machines with the same live
+// members and the same items. It ignores suspicion, which is transient.
 func (machine *Machine) Digest() uint64 {
 	digest := uint64(0)
 	for _, member := range machine.Members() {
@@ -38,71 +38,74 @@
 	return digest
 }
 
-// tellSuspect makes sure that a member hears what is said of it, so that it can
-// refute, even when that news is no longer passed around.
-func (machine *Machine) tellSuspect(address string, answer *Message) {
+// attachSuspicion adds a member's record to the ack sent to it, unless the member
+// is believed alive. It can then refute the record, even if that is no longer
+// gossiped.
+func (machine *Machine) attachSuspicion(address string, ack *Message) {
 	if known, found := machine.members[address]; found && known.member.Status != Alive {
-		answer.Members = append(answer.Members, known.member)
+		ack.Members = append(ack.Members, known.member)
 	}
 }
 
-// take merges statements. A statement that is not newer is ignored: it was
-// either seen before or is overridden.
-func (machine *Machine) take(now time.Time, members []Member, items []Item, output *Output) {
-	urgent := false
+// apply merges received members and items into the view. It ignores records that
+// are not newer than the current ones.
+func (machine *Machine) apply(now time.Time, members []Member, items []Item, output *Output) {
+	gossipNow := false
 	for _, member := range members {
 		if member.Address == machine.self.Address {
-			urgent = machine.defend(member) || urgent
+			gossipNow = machine.refute(member) || gossipNow
 			continue
 		}
-		known, found := machine.members[member.Address]
-		if found && !newer(member, known.member) {
+		current, found := machine.members[member.Address]
+		if found && !supersedes(member, current.member) {
 			continue
 		}
 		if !found && member.Status >= Dead {
-			// A stranger's death changes nothing here, and keeping it would make
-			// the memory of the dead go round for ever.
+			// The death of an unknown member is not recorded: nodes would otherwise
+			// pass records of dead members to each other forever.
 			continue
 		}
-		machine.members[member.Address] = &entry{member: member, since: now}
-		machine.tell("member/"+member.Address, &news{member: &member})
+		machine.members[member.Address] = &entry{member: member, changedAt: now}
+		machine.queueBroadcast("member/"+member.Address, &broadcast{member: &member})
 		output.Changes = append(output.Changes, Change{Member: &member})
 	}
 	for _, item := range items {
-		if machine.keepItem(item) {
-			urgent = true
+		if machine.storeItem(item) {
+			gossipNow = true
 			output.Changes = append(output.Changes, Change{Item: &item})
 		}
 	}
-	if urgent {
-		output.Messages = append(output.Messages, machine.urgent()...)
+	if gossipNow {
+		output.Messages = append(output.Messages, machine.gossipMessages()...)
 	}
 }
 
-func newer(statement, known Member) bool {
-	if statement.Incarnation != known.Incarnation {
-		return statement.Incarnation > known.Incarnation
+// supersedes reports whether a received record is newer than the current one.
+func supersedes(record, current Member) bool {
+	if record.Incarnation != current.Incarnation {
+		return record.Incarnation > current.Incarnation
 	}
-	return statement.Status > known.Status
+	return record.Status > current.Status
 }
 
-// defend refutes what others say of this node.
-func (machine *Machine) defend(statement Member) bool {
-	stale := statement.Incarnation < machine.self.Incarnation ||
-		(statement.Incarnation == machine.self.Incarnation && statement.Status <= machine.self.Status)
+// refute handles a record of this node received from others. If that contradicts
+// the node's own record, it raises the incarnation and reports true.
+func (machine *Machine) refute(record Member) bool {
+	stale := record.Incarnation < machine.self.Incarnation ||
+		(record.Incarnation == machine.self.Incarnation && record.Status <= machine.self.Status)
 	if stale || machine.self.Status == Left {
 		return false
 	}
-	machine.self.Incarnation = statement.Incarnation + 1
-	machine.announce()
+	machine.self.Incarnation = record.Incarnation + 1
+	machine.broadcastSelf()
 	return true
 }
 
-func (machine *Machine) keepItem(item Item) bool {
-	if held, found := machine.items[item.Key]; found && held.Version >= item.Version {
+func (machine *Machine) storeItem(item Item) bool {
+	if current, found := machine.items[item.Key]; found && current.Version >= item.Version {
 		return false
 	}
 	machine.items[item.Key] = item
-	machine.tell("item/"+item.Key, &news{item: &item})
+	machine.queueBroadcast("item/"+item.Key, &broadcast{item: &item})
 	return true
 }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -11,26 +11,29 @@
 	"github.com/cloverrail/cloverrail/internal/membership"
 )
 
-// datagramOverhead is what sealing, UDP and IP add to a message, in bytes.
+// datagramOverhead is the size in bytes that encryption (28) and the UDP and IP
+// headers (28) add to a message.
 const datagramOverhead = 28 + 28
 
 const (
-	// syncInterval is how often a node compares its view with another's.
+	// syncInterval is the mean interval at which a node compares its view with
+	// another's.
 	syncInterval = 10 * time.Second
-	// digestBytes is what a request or an answer without a view costs on a call.
+	// digestBytes is the size of a request, or of a response without a view.
 	digestBytes = 120
 )
 
-// Config sets up a network of simulated nodes.
+// Config configures a network of simulated nodes.
 type Config struct {
 	Nodes int
 	Seed  uint64
-	// Zones that the nodes are dealt out to.
+	// Zones is the number of zones that the nodes are distributed over.
 	Zones int
-	// Delay of a message one way, and the share of messages lost.
+	// Delay is the one-way delay of a message, and Loss the fraction of messages
+	// lost.
 	Delay time.Duration
 	Loss  float64
-	// CountBytes encodes every message to measure it, which is slow.
+	// CountBytes encodes every message to measure its size, which is slow.
 	CountBytes bool
 }
 
@@ -39,37 +42,37 @@
 	Address string
 	Zone    string
 	Machine *membership.Machine
-	// Revision of the configuration that the node has in force.
+	// Revision is the configuration revision in force at the node.
 	Revision int64
-	// AdoptedAt is when it came in force.
-	AdoptedAt time.Time
-	// Up is false while the node is dead, Paused while it stands still.
+	// ActivatedAt is when Revision came into force.
+	ActivatedAt time.Time
+	// Up is false while the node is down; Paused is true while it is suspended.
 	Up     bool
 	Paused bool
 	// Sent and Received count bytes.
-	Sent     int64
-	Received int64
-	side     int
-	nextTick time.Time
-	nextSync time.Time
+	Sent      int64
+	Received  int64
+	partition int
+	nextTick  time.Time
+	nextSync  time.Time
 }
 
 type delivery struct {
 	message membership.Message
 	bytes   int64
-	// fetch marks an answer to a node that asked for a configuration.
+	// fetch is the revision that a configuration response brings, or 0.
 	fetch int64
 }
 
-// Network is the nodes and what is under way between them.
+// Network holds the nodes and the messages in transit between them.
 type Network struct {
-	Now    time.Time
-	Nodes  []*Node
-	config Config
-	random *rand.Rand
-	byName map[string]*Node
-	queue  agenda.Agenda[delivery]
-	// Changes counts statuses learned, by status.
+	Now       time.Time
+	Nodes     []*Node
+	config    Config
+	random    *rand.Rand
+	byAddress map[string]*Node
+	queue     agenda.Queue[delivery]
+	// Changes counts member changes by status.
 	Changes map[membership.Status]int
 	// Messages counts messages sent.
 	Messages int64
@@ -78,11 +81,11 @@
 // newNetwork returns a network whose nodes know each other, as after a join.
 func newNetwork(config Config) *Network {
 	network := &Network{
-		Now:     time.UnixMilli(1_800_000_000_000),
-		config:  config,
-		random:  rand.New(rand.NewPCG(config.Seed, 2)),
-		byName:  map[string]*Node{},
-		Changes: map[membership.Status]int{},
+		Now:       time.UnixMilli(1_800_000_000_000),
+		config:    config,
+		random:    rand.New(rand.NewPCG(config.Seed, 2)),
+		byAddress: map[string]*Node{},
+		Changes:   map[membership.Status]int{},
 	}
 	members := []membership.Member{}
 	for index := range config.Nodes {
@@ -103,51 +106,51 @@
 	node := &Node{Address: self.Address, Zone: self.Zone, Up: true}
 	node.Machine = membership.NewMachine(membership.DefaultConfig, self, []string{known[0].Address, known[len(known)-1].Address}, random)
 	node.Machine.Merge(network.Now, known, nil)
-	// Nodes do not tick in step.
+	// The first ticks are spread so that nodes do not tick in step.
 	node.nextTick = network.Now.Add(time.Duration(network.random.Int64N(int64(membership.DefaultConfig.Period))))
-	if old, found := network.byName[self.Address]; found {
+	if old, found := network.byAddress[self.Address]; found {
 		*old = *node
 		return old
 	}
-	network.byName[self.Address] = node
+	network.byAddress[self.Address] = node
 	network.Nodes = append(network.Nodes, node)
 	return node
 }
 
-// Restart brings a node back as a new process that knows some other node.
+// Restart replaces a node by a new process that gets its view from another node.
 func (network *Network) Restart(index int) {
 	old := network.Nodes[index]
 	self := membership.Member{Address: old.Address, Zone: old.Zone, Incarnation: uint64(network.Now.UnixMilli())}
 	peer := network.Nodes[(index+1)%len(network.Nodes)]
 	revision := peer.Revision
 	node := network.add(self, peer.Machine.Members())
-	node.Revision, node.AdoptedAt = revision, network.Now
+	node.Revision, node.ActivatedAt = revision, network.Now
 	network.send(node, node.Machine.SetRevision(revision))
 }
 
-// Split parts the nodes into sides; messages stay within a side.
-func (network *Network) Split(side func(index int) int) {
+// Partition divides the network: messages reach only nodes of the same partition.
+func (network *Network) Partition(partitionOf func(index int) int) {
 	for index, node := range network.Nodes {
-		node.side = side(index)
+		node.partition = partitionOf(index)
 	}
 }
 
-// Adopt puts a revision in force at one node, as its watch would.
-func (network *Network) Adopt(index int, revision int64) {
-	network.adopt(network.Nodes[index], revision)
+// ActivateRevision puts a revision in force at one node, as its watch would.
+func (network *Network) ActivateRevision(index int, revision int64) {
+	network.activateRevision(network.Nodes[index], revision)
 }
 
-func (network *Network) adopt(node *Node, revision int64) {
+func (network *Network) activateRevision(node *Node, revision int64) {
 	if revision <= node.Revision {
 		return
 	}
-	node.Revision, node.AdoptedAt = revision, network.Now
+	node.Revision, node.ActivatedAt = revision, network.Now
 	network.send(node, node.Machine.SetRevision(revision))
 }
 
-// Offer spreads an item from one node.
-func (network *Network) Offer(index int, item membership.Item) {
-	network.send(network.Nodes[index], network.Nodes[index].Machine.Offer(item))
+// BroadcastItem gossips an item from one node.
+func (network *Network) BroadcastItem(index int, item membership.Item) {
+	network.send(network.Nodes[index], network.Nodes[index].Machine.BroadcastItem(item))
 }
 
 // Run advances virtual time.
@@ -166,59 +169,59 @@
 	}
 }
 
-// synchronize compares a node's view with that of another that it believes to
-// live, as real nodes do by a call.
+// synchronize compares a node's view with that of a random member and merges the
+// other view if they differ, as real nodes do with a call.
 func (network *Network) synchronize(node *Node) {
 	if node.nextSync.After(network.Now) {
 		return
 	}
 	node.nextSync = network.Now.Add(syncInterval/2 + time.Duration(network.random.Int64N(int64(syncInterval))))
 	members := node.Machine.Members()
-	partner := network.byName[members[network.random.IntN(len(members))].Address]
-	if partner == node || partner.side != node.side || !partner.Up || partner.Paused {
+	partner := network.byAddress[members[network.random.IntN(len(members))].Address]
+	if partner == node || partner.partition != node.partition || !partner.Up || partner.Paused {
 		return
 	}
-	network.count(node, partner, digestBytes, digestBytes)
+	network.countBytes(node, partner, digestBytes, digestBytes)
 	if partner.Machine.Digest() == node.Machine.Digest() {
 		return
 	}
-	answer := membership.Message{Members: partner.Machine.Members(), Items: partner.Machine.Items()}
+	response := membership.Message{Members: partner.Machine.Members(), Items: partner.Machine.Items()}
 	if network.config.CountBytes {
-		network.count(partner, node, encodedLength(answer), 0)
+		network.countBytes(partner, node, encodedLength(response), 0)
 	}
-	network.send(node, node.Machine.Merge(network.Now, answer.Members, answer.Items))
+	network.send(node, node.Machine.Merge(network.Now, response.Members, response.Items))
 }
 
-// count notes bytes that a call moves to the one and back to the other.
-func (network *Network) count(from, to *Node, there, back int64) {
-	from.Sent += there
-	to.Received += there
-	to.Sent += back
-	from.Received += back
+// countBytes adds the bytes of a call to the counters of both nodes.
+func (network *Network) countBytes(from, to *Node, requestBytes, responseBytes int64) {
+	from.Sent += requestBytes
+	to.Received += requestBytes
+	to.Sent += responseBytes
+	from.Received += responseBytes
 }
 
-// deliver hands over everything due before the next tick, in order.
+// deliver delivers all messages due before the next tick, in order.
 func (network *Network) deliver() {
 	horizon := network.Now
 	for {
-		entry, due := network.queue.Due(horizon)
+		entry, due := network.queue.PopUntil(horizon)
 		if !due {
 			break
 		}
 		next := entry.Item
-		node := network.byName[next.message.To]
+		node := network.byAddress[next.message.To]
 		if !node.Up {
 			continue
 		}
 		if node.Paused {
-			// The kernel keeps the datagram until the process goes on.
+			// The kernel buffers the datagram until the process resumes.
 			network.queue.Add(horizon.Add(membership.TickInterval), next)
 			continue
 		}
 		network.Now = entry.At
 		node.Received += next.bytes
 		if next.fetch > 0 {
-			network.adopt(node, next.fetch)
+			network.activateRevision(node, next.fetch)
 			continue
 		}
 		network.send(node, node.Machine.Receive(entry.At, next.message))
@@ -228,7 +231,7 @@
 
 func (network *Network) send(node *Node, output membership.Output) {
 	for _, message := range output.Messages {
-		network.post(node, message)
+		network.postMessage(node, message)
 	}
 	for _, change := range output.Changes {
 		if change.Member != nil {
@@ -240,10 +243,10 @@
 	}
 }
 
-// fetch stands for the call that reads a configuration from a peer: a request
-// and an answer, over a connection that does not lose them.
+// fetch simulates the call that reads a configuration from a peer: a request and
+// a response over a reliable connection.
 func (network *Network) fetch(node *Node, change membership.Change) {
-	if peer, found := network.byName[change.From]; !found || peer.side != node.side || !peer.Up || peer.Paused {
+	if peer, found := network.byAddress[change.From]; !found || peer.partition != node.partition || !peer.Up || peer.Paused {
 		return
 	}
 	network.queue.Add(network.Now.Add(2*network.config.Delay), delivery{
@@ -251,15 +254,15 @@
 	})
 }
 
-func (network *Network) post(node *Node, message membership.Message) {
+func (network *Network) postMessage(node *Node, message membership.Message) {
 	network.Messages++
 	bytes := int64(0)
 	if network.config.CountBytes {
 		bytes = encodedLength(message)
 	}
 	node.Sent += bytes
-	target, found := network.byName[message.To]
-	if !found || target.side != node.side || network.random.Float64() < network.config.Loss {
+	target, found := network.byAddress[message.To]
+	if !found || target.partition != node.partition || network.random.Float64() < network.config.Loss {
 		return
 	}
 	network.queue.Add(network.Now.Add(network.config.Delay), delivery{message: message, bytes: bytes})
@@ -273,8 +276,9 @@
 	return int64(data.Len() + datagramOverhead)
 }
 
-// Believed counts the nodes whose view of a member has the status.
-func (network *Network) Believed(address string, status membership.Status) int {
+// CountWithStatus returns the number of nodes in whose view the member has the
+// status.
+func (network *Network) CountWithStatus(address string, status membership.Status) int {
 	count := 0
 	for _, node := range network.Nodes {
 		if !node.Up || node.Address == address {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// rejoinEvery is how many periods pass between probes of a member believed
-// dead, so that the two sides of a healed partition find each other again.
-const rejoinEvery = 5
+// rejoinPeriods is the number of periods between probes of a member believed
+// dead, which let the two sides of a healed partition find each other again.
+const rejoinPeriods = 5
 
+// probe is the direct probe of the current period.
 type probe struct {
-	target   string
-	sequence uint64
-	started  time.Time
-	indirect bool
+	target       string
+	sequence     uint64
+	startedAt    time.Time
+	indirectSent bool
 }
 
+// relay is an indirect probe that this node makes on behalf of origin.
 type relay struct {
 	origin   string
 	sequence uint64
@@ -23,19 +25,19 @@
 }
 
 func (machine *Machine) startProbe(now time.Time, output *Output) {
-	machine.periods++
-	machine.accuseOldest(output)
-	if machine.periods%rejoinEvery == 1 {
-		if lost := machine.lostAddress(); lost != "" {
-			output.Messages = append(output.Messages, machine.message(Ping, lost, machine.nextSequence()))
+	machine.probePeriods++
+	machine.pingOldestSuspect(output)
+	if machine.probePeriods%rejoinPeriods == 1 {
+		if lost := machine.randomLostAddress(); lost != "" {
+			output.Messages = append(output.Messages, machine.newMessage(Ping, lost, machine.nextSequence()))
 		}
 	}
 	target := machine.nextTarget()
 	if target == "" {
 		return
 	}
-	machine.probe = &probe{target: target, sequence: machine.nextSequence(), started: now}
-	output.Messages = append(output.Messages, machine.message(Ping, target, machine.probe.sequence))
+	machine.probe = &probe{target: target, sequence: machine.nextSequence(), startedAt: now}
+	output.Messages = append(output.Messages, machine.newMessage(Ping, target, machine.probe.sequence))
 }
 
 func (machine *Machine) nextSequence() uint64 {
@@ -43,30 +45,30 @@
 	return machine.sequence
 }
 
-// nextTarget goes through all members in a shuffled round, so that each is
+// nextTarget returns the members in rounds of shuffled order, so that each is
 // probed within a bounded time.
 func (machine *Machine) nextTarget() string {
 	for range 2 {
-		for len(machine.order) > 0 {
-			target := machine.order[0]
-			machine.order = machine.order[1:]
+		for len(machine.probeOrder) > 0 {
+			target := machine.probeOrder[0]
+			machine.probeOrder = machine.probeOrder[1:]
 			if known, found := machine.members[target]; found && known.member.Status < Dead {
 				return target
 			}
 		}
-		machine.order = machine.reachable("")
-		machine.random.Shuffle(len(machine.order), func(i, j int) {
-			machine.order[i], machine.order[j] = machine.order[j], machine.order[i]
+		machine.probeOrder = machine.reachable("")
+		machine.random.Shuffle(len(machine.probeOrder), func(i, j int) {
+			machine.probeOrder[i], machine.probeOrder[j] = machine.probeOrder[j], machine.probeOrder[i]
 		})
 	}
 	return ""
 }
 
-// reachable lists the members not believed dead, but for one, in a fixed order.
-func (machine *Machine) reachable(but string) []string {
+// reachable returns the members not believed dead, except one, ordered by address.
+func (machine *Machine) reachable(except string) []string {
 	addresses := []string{}
 	for address, known := range machine.members {
-		if known.member.Status < Dead && address != but {
+		if known.member.Status < Dead && address != except {
 			addresses = append(addresses, address)
 		}
 	}
@@ -74,7 +76,9 @@
 	return addresses
 }
 
-func (machine *Machine) lostAddress() string {
+// randomLostAddress returns the address of a random member believed dead or of a
+// seed that is not a known member, or "" if there is none.
+func (machine *Machine) randomLostAddress() string {
 	lost := []string{}
 	for _, seed := range machine.seeds {
 		if _, known := machine.members[seed]; !known && seed != machine.self.Address {
@@ -93,27 +97,29 @@
 	return lost[machine.random.IntN(len(lost))]
 }
 
-func (machine *Machine) probeIndirectly(now time.Time, output *Output) {
+func (machine *Machine) sendIndirectProbes(now time.Time, output *Output) {
 	probe := machine.probe
-	if probe == nil || probe.indirect || now.Sub(probe.started) < machine.config.AckTimeout {
+	if probe == nil || probe.indirectSent || now.Sub(probe.startedAt) < machine.config.AckTimeout {
 		return
 	}
-	probe.indirect = true
-	for _, helper := range machine.sample(machine.config.Indirect, probe.target) {
-		message := machine.message(PingRequest, helper, probe.sequence)
+	probe.indirectSent = true
+	for _, helper := range machine.sampleReachable(machine.config.IndirectProbes, probe.target) {
+		message := machine.newMessage(PingRequest, helper, probe.sequence)
 		message.Target = probe.target
 		output.Messages = append(output.Messages, message)
 	}
-	// A second direct probe costs one message and halves the harm of its loss.
-	output.Messages = append(output.Messages, machine.message(Ping, probe.target, probe.sequence))
+	// A second direct probe costs one message and halves the effect of losing the
+	// first.
+	output.Messages = append(output.Messages, machine.newMessage(Ping, probe.target, probe.sequence))
 }
 
-func (machine *Machine) sample(count int, but string) []string {
-	addresses := machine.reachable(but)
+func (machine *Machine) sampleReachable(count int, except string) []string {
+	addresses := machine.reachable(except)
 	machine.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(count, len(addresses))]
 }
 
+// endProbe marks the target as suspect if it did not answer within the period.
 func (machine *Machine) endProbe(now time.Time, output *Output) {
 	probe := machine.probe
 	machine.probe = nil
@@ -123,45 +129,45 @@
 	if known, found := machine.members[probe.target]; found && known.member.Status == Alive {
 		suspect := known.member
 		suspect.Status = Suspect
-		machine.take(now, []Member{suspect}, nil, output)
-		// The suspect is the one who can refute, so it hears first.
-		output.Messages = append(output.Messages, machine.accuse(suspect))
+		machine.apply(now, []Member{suspect}, nil, output)
+		// Only the suspect can refute the suspicion, so it is informed first.
+		output.Messages = append(output.Messages, machine.pingSuspect(suspect))
 	}
 }
 
-// accuse pings a suspect with what is said of it.
-func (machine *Machine) accuse(suspect Member) Message {
-	message := machine.message(Ping, suspect.Address, machine.nextSequence())
+// pingSuspect returns a ping that informs a suspect of its suspicion.
+func (machine *Machine) pingSuspect(suspect Member) Message {
+	message := machine.newMessage(Ping, suspect.Address, machine.nextSequence())
 	message.Members = append(message.Members, suspect)
 	return message
 }
 
-// accuseOldest pings the suspect that would be declared dead next. Without it a
-// suspicion whose refutation was lost would ripen into a death at 20 % loss.
-func (machine *Machine) accuseOldest(output *Output) {
+// pingOldestSuspect pings the suspect that would be declared dead next. Otherwise,
+// at 20 % loss, live members whose refutation was lost would be declared dead.
+func (machine *Machine) pingOldestSuspect(output *Output) {
 	var oldest *entry
 	for _, known := range machine.members {
 		if known.member.Status != Suspect {
 			continue
 		}
-		earlier := oldest == nil || known.since.Before(oldest.since)
-		tied := oldest != nil && known.since.Equal(oldest.since) && known.member.Address < oldest.member.Address
+		earlier := oldest == nil || known.changedAt.Before(oldest.changedAt)
+		tied := oldest != nil && known.changedAt.Equal(oldest.changedAt) && known.member.Address < oldest.member.Address
 		if earlier || tied {
 			oldest = known
 		}
 	}
 	if oldest != nil {
-		output.Messages = append(output.Messages, machine.accuse(oldest.member))
+		output.Messages = append(output.Messages, machine.pingSuspect(oldest.member))
 	}
 }
 
-func (machine *Machine) acknowledged(message Message, output *Output) {
+func (machine *Machine) handleAck(message Message, output *Output) {
 	if machine.probe != nil && machine.probe.sequence == message.Sequence {
 		machine.probe = nil
 		return
 	}
 	if pending, found := machine.relays[message.Sequence]; found {
 		delete(machine.relays, message.Sequence)
-		output.Messages = append(output.Messages, machine.message(Ack, pending.origin, pending.sequence))
+		output.Messages = append(output.Messages, machine.newMessage(Ack, pending.origin, pending.sequence))
 	}
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -19,65 +19,65 @@
 	concludeTimeout = time.Second
 )
 
-// claims drives this node's holder, and rounds on behalf of its callers.
+// claims holds this node's claim holder, which answers rounds of all nodes.
 type claims struct {
 	mutex  sync.Mutex
 	holder *claim.Holder
 	config claim.Config
 	roster []string
-	// previous are the holders before, while they hand over.
-	previous []string
+	// previousHolders lists the former holders during a change of holders.
+	previousHolders []string
 }
 
 func newClaims(now time.Time) *claims {
-	config := claim.Config{Window: configuration.DefaultClaimWindow, ClockSkew: configuration.DefaultClockSkew, RoundLimit: claim.DefaultRoundLimit}
+	config := claim.Config{Window: configuration.DefaultClaimWindow, ClockSkew: configuration.DefaultClockSkew, RoundTimeout: claim.DefaultRoundTimeout}
 	return &claims{holder: claim.NewHolder(config, now), config: config}
 }
 
-// configure follows a new snapshot. When the roster has changed, nothing is
-// granted until the holders before have handed over.
-func (claims *claims) configure(declared configuration.Claims, now time.Time) {
+// configure applies a new snapshot. After a change of the roster, nothing is
+// granted until the claims of the former holders have been taken over.
+func (claims *claims) configure(declaration configuration.Claims, now time.Time) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	config := claim.Config{Window: declared.Window, ClockSkew: declared.ClockSkew, RoundLimit: claim.DefaultRoundLimit}
+	config := claim.Config{Window: declaration.Window, ClockSkew: declaration.ClockSkew, RoundTimeout: claim.DefaultRoundTimeout}
 	if config != claims.config {
-		claims.holder.Reconfigure(config)
+		claims.holder.SetConfig(config)
 	}
 	first := claims.roster == nil
-	changed := claim.RosterName(claims.roster) != claim.RosterName(declared.Holders)
+	changed := claim.RosterID(claims.roster) != claim.RosterID(declaration.Holders)
 	switch {
-	case len(declared.Previous) == 0 && changed && !first:
-		// This node has missed the whole change: it knows nothing of what the new
-		// holders granted.
-		claims.holder.Restart(now)
-		claims.holder.Settle(now)
-	case len(declared.Previous) == 0:
-		claims.holder.Settle(now)
+	case len(declaration.Previous) == 0 && changed && !first:
+		// This node has missed the whole change and does not know the claims that the
+		// new holders have granted.
+		claims.holder.Reset(now)
+		claims.holder.CompleteRosterChange(now)
+	case len(declaration.Previous) == 0:
+		claims.holder.CompleteRosterChange(now)
 	case first:
 		claims.holder.AwaitJoin()
 	case changed:
 		claims.holder.ChangeRoster()
 	}
 	claims.config = config
-	claims.roster = declared.Holders
-	claims.previous = declared.Previous
+	claims.roster = declaration.Holders
+	claims.previousHolders = declaration.Previous
 }
 
-func (claims *claims) current() (claim.Config, []string) {
+func (claims *claims) currentConfig() (claim.Config, []string) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
 	return claims.config, claims.roster
 }
 
-// answer is this node's word as a holder. An asker with another roster gets an
-// abstention, so that two rosters never decide side by side.
-func (claims *claims) answer(request wire.ClaimRequest) wire.ClaimAnswer {
+// answer returns this node's vote on a claim. A requester with another roster gets
+// an abstention, so that two rosters never decide concurrently.
+func (claims *claims) answer(request wire.ClaimRequest) wire.ClaimResponse {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if request.Roster != claim.RosterName(claims.roster) {
-		return wire.ClaimAnswer{Answer: claim.Answer{Verdict: claim.Abstained}}
+	if request.Roster != claim.RosterID(claims.roster) {
+		return wire.ClaimResponse{Answer: claim.Response{Verdict: claim.Abstained}}
 	}
-	return wire.ClaimAnswer{Answer: claims.holder.Claim(boottime.Now(), request.Key, request.Owner)}
+	return wire.ClaimResponse{Answer: claims.holder.Claim(boottime.Now(), request.Key, request.Owner)}
 }
 
 func (claims *claims) conclude(request wire.ConcludeRequest) {
@@ -86,14 +86,14 @@
 	claims.holder.Conclude(boottime.Now(), request.Key, request.Owner, request.Status)
 }
 
-func (claims *claims) records(request wire.ClaimsRequest) wire.ClaimsAnswer {
+func (claims *claims) handleRecords(request wire.ClaimListRequest) wire.ClaimListResponse {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if request.Roster != claim.RosterName(claims.roster) {
-		return wire.ClaimsAnswer{}
+	if request.Roster != claim.RosterID(claims.roster) {
+		return wire.ClaimListResponse{}
 	}
 	now := boottime.Now()
-	return wire.ClaimsAnswer{
+	return wire.ClaimListResponse{
 		Adopted:      true,
 		Joined:       claims.holder.Joined(),
 		Complete:     claims.holder.Complete(now),
@@ -105,36 +105,36 @@
 func (claims *claims) restart(now time.Time) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	claims.holder.Restart(now)
+	claims.holder.Reset(now)
 }
 
-// Claimed is a key that this node's caller owns. Exactly one of its methods is
-// called once the request is over.
-type Claimed struct {
+// ClaimHandle is a claim on a key that a request of this node holds. If the outcome
+// of the request is known, exactly one of its methods is called.
+type ClaimHandle struct {
 	node    *Node
 	key     claim.Key
 	owner   string
 	holders []string
 }
 
-// Claim makes sure that no other request with the key runs.
-func (node *Node) Claim(ctx context.Context, tenant, value string) (*Claimed, error) {
-	config, roster := node.claims.current()
+// Claim claims an idempotency key, so that no other request with the key runs.
+func (node *Node) Claim(ctx context.Context, tenant, value string) (*ClaimHandle, error) {
+	config, roster := node.claims.currentConfig()
 	if len(roster) == 0 {
 		return nil, failure.New(failure.KindClaimUnavailable, "no claim holders are declared", "declare claims.holders")
 	}
 	key := claim.Key{Tenant: tenant, Value: value}
-	if refusal := claim.Check(config, boottime.Now(), key); refusal != nil {
+	if refusal := claim.CheckAge(config, boottime.Now(), key); refusal != nil {
 		return nil, refusal
 	}
-	claimed := &Claimed{node: node, key: key, owner: uuid.NewString(), holders: claim.HoldersOf(key, roster)}
-	decision, status := node.runRound(ctx, config, claim.RosterName(roster), claimed)
+	handle := &ClaimHandle{node: node, key: key, owner: uuid.NewString(), holders: claim.HoldersOf(key, roster)}
+	decision, status := node.runRound(ctx, config, claim.RosterID(roster), handle)
 	node.metrics.ClaimRounds.WithLabelValues(decision.String()).Inc()
 	switch decision {
 	case claim.Won:
-		return claimed, nil
+		return handle, nil
 	case claim.Duplicate:
-		claimed.Release()
+		handle.Release()
 		outcome := failure.Unknown
 		if status == claim.Completed {
 			outcome = failure.Ran
@@ -142,40 +142,40 @@
 		return nil, failure.New(failure.KindDuplicate, "a request with this idempotency key was accepted before",
 			"look at the outcome of the first send; a new request needs a new key").WithOutcome(outcome)
 	default:
-		claimed.Release()
+		handle.Release()
 		return nil, failure.New(failure.KindClaimUnavailable, "too few claim holders answered",
 			"send it again with the same key, or under a new one if no earlier send of it may have run").WithRetryAfter(claimRetryAfter)
 	}
 }
 
-// holderAnswer pairs an answer with who gave it.
+// holderAnswer is an answer and the holder that gave it.
 type holderAnswer struct {
 	holder string
-	answer claim.Answer
+	answer claim.Response
 	err    error
 }
 
-func (node *Node) runRound(ctx context.Context, config claim.Config, roster string, claimed *Claimed) (claim.Decision, claim.Status) {
-	round := claim.NewRound(config, boottime.Now(), claimed.holders)
-	ctx, cancel := context.WithTimeout(ctx, config.RoundLimit)
+func (node *Node) runRound(ctx context.Context, config claim.Config, roster string, handle *ClaimHandle) (claim.Decision, claim.Status) {
+	round := claim.NewRound(config, boottime.Now(), handle.holders)
+	ctx, cancel := context.WithTimeout(ctx, config.RoundTimeout)
 	defer cancel()
-	answers := make(chan holderAnswer, len(claimed.holders))
-	request := wire.ClaimRequest{Roster: roster, Key: claimed.key, Owner: claimed.owner}
-	for _, holder := range claimed.holders {
+	answers := make(chan holderAnswer, len(handle.holders))
+	request := wire.ClaimRequest{Roster: roster, Key: handle.key, Owner: handle.owner}
+	for _, holder := range handle.holders {
 		go func() {
 			if holder == node.settings.PeerAddress {
 				answers <- holderAnswer{holder: holder, answer: node.claims.answer(request).Answer}
 				return
 			}
-			answer, err := call[wire.ClaimAnswer](ctx, node, holder, request)
+			answer, err := callPeer[wire.ClaimResponse](ctx, node, holder, request)
 			answers <- holderAnswer{holder: holder, answer: answer.Answer, err: err}
 		}()
 	}
 	decision := claim.Undecided
-	for range claimed.holders {
+	for range handle.holders {
 		received := <-answers
 		if received.err != nil {
-			decision = round.Lost(boottime.Now(), received.holder)
+			decision = round.NoResponse(boottime.Now(), received.holder)
 		} else {
 			decision = round.Receive(boottime.Now(), received.holder, received.answer)
 		}
@@ -186,23 +186,23 @@
 	return decision, round.Status()
 }
 
-// Complete says that the request ran.
-func (claimed *Claimed) Complete() { claimed.conclude(claim.Completed) }
+// Complete reports that the request has run.
+func (handle *ClaimHandle) Complete() { handle.conclude(claim.Completed) }
 
-// Release says that the request was not sent and never will be.
-func (claimed *Claimed) Release() { claimed.conclude(claim.Released) }
+// Release reports that the request was not sent and will not be sent.
+func (handle *ClaimHandle) Release() { handle.conclude(claim.Released) }
 
-func (claimed *Claimed) conclude(status claim.Status) {
-	request := wire.ConcludeRequest{Key: claimed.key, Owner: claimed.owner, Status: status}
-	for _, holder := range claimed.holders {
-		if holder == claimed.node.settings.PeerAddress {
-			claimed.node.claims.conclude(request)
+func (handle *ClaimHandle) conclude(status claim.Status) {
+	request := wire.ConcludeRequest{Key: handle.key, Owner: handle.owner, Status: status}
+	for _, holder := range handle.holders {
+		if holder == handle.node.settings.PeerAddress {
+			handle.node.claims.conclude(request)
 			continue
 		}
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), concludeTimeout)
 			defer cancel()
-			_, _ = call[wire.ConcludeAnswer](ctx, claimed.node, holder, request)
+			_, _ = callPeer[wire.ConcludeResponse](ctx, handle.node, holder, request)
 		}()
 	}
 }
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -25,27 +25,27 @@
 
 const (
 	bytesPerToken = 4
-	// probesAtOnce bounds the back ends asked directly when none is known to be
-	// ready, as right after a restart of the whole fleet.
-	probesAtOnce   = 4
-	probeTimeout   = 300 * time.Millisecond
-	noEndpointWait = time.Second
-	placeInterval  = 50 * time.Millisecond
+	// maxConcurrentProbes bounds the backends probed directly when none is known to
+	// be ready, for example after a restart of the whole fleet.
+	maxConcurrentProbes    = 4
+	probeTimeout           = 300 * time.Millisecond
+	noEndpointRetryAfter   = time.Second
+	placementRetryInterval = 50 * time.Millisecond
 )
 
-// Completion is one request for a model.
+// Completion describes one request for a model.
 type Completion struct {
 	Tenant  *configuration.Tenant
 	Class   *configuration.Class
 	Path    string
 	Body    []byte
 	Request *engineapi.CompletionRequest
-	// Emitted returns the text passed on so far, for a continuation.
-	Emitted func() string
-	Sink    dispatch.Sink
+	// EmittedText returns the text forwarded so far, for a continuation.
+	EmittedText func() string
+	Sink        dispatch.Sink
 }
 
-// placement is the state of placing one completion; it implements
+// placement holds the placement state of one completion. It implements
 // dispatch.Placer.
 type placement struct {
 	node       *Node
@@ -54,32 +54,32 @@
 	model      string
 	adapter    string
 
-	// salt and chain belong to the version that the last placement was for.
+	// salt and chain belong to the model version of the last placement.
 	version string
 	salt    string
 	chain   []prefix.Hash
-	// importBlocks is how much the chosen engine shall import.
+	// importBlocks is the number of blocks that the selected engine should import.
 	importBlocks int
-	// pools are those through which the last placement looked.
+	// pools lists the pools that the last placement considered.
 	pools []*configuration.Pool
 }
 
-// errNoModel is the answer for a model that does not exist, or that the tenant
-// does not reach: callers must not be able to tell these apart.
-var errNoModel = failure.New(failure.KindNotFound, "the model does not exist", "use a model that GET /v1/models lists")
+// errModelNotFound is returned both for a model that does not exist and for one that
+// the tenant may not use, since callers must not be able to tell these apart.
+var errModelNotFound = failure.New(failure.KindNotFound, "the model does not exist", "use a model that GET /v1/models lists")
 
-// Complete serves one request for a model.
+// Complete executes one request for a model.
 func (node *Node) Complete(ctx context.Context, completion *Completion) error {
 	model, adapter, _ := strings.Cut(completion.Request.Model, ":")
-	place := &placement{node: node, completion: completion, prompt: completion.Request.PromptText(), model: model, adapter: adapter}
-	snapshot := node.catalog.snapshot.Load()
+	p := &placement{node: node, completion: completion, prompt: completion.Request.PromptText(), model: model, adapter: adapter}
+	snapshot := node.activeConfig.snapshot.Load()
 	pools := snapshot.PoolsFor(completion.Tenant, model)
 	if len(pools) == 0 {
-		return errNoModel
+		return errModelNotFound
 	}
 	ctx, cancel := context.WithTimeout(ctx, completion.Class.Deadline)
 	defer cancel()
-	release, err := node.acquire(ctx, completion, pools[0], len(place.prompt))
+	release, err := node.acquireSlot(ctx, completion, pools[0], len(p.prompt))
 	if err != nil {
 		return err
 	}
@@ -88,20 +88,20 @@
 	node.retries.Deposit(boottime.Now())
 	return node.driver.Run(ctx, dispatch.Call{
 		Path:   completion.Path,
-		Body:   place.body,
-		Placer: place,
+		Body:   p.body,
+		Placer: p,
 		Sink:   completion.Sink,
 		Limits: dispatch.DefaultLimits,
 		Budget: budget,
 	})
 }
 
-func (node *Node) acquire(ctx context.Context, completion *Completion, pool *configuration.Pool, promptBytes int) (func(), error) {
-	places, found := node.limits.poolPlaces(pool.Name)
+func (node *Node) acquireSlot(ctx context.Context, completion *Completion, pool *configuration.Pool, promptBytes int) (func(), error) {
+	slots, found := node.limits.slotPool(pool.Name)
 	if !found {
-		return nil, errNoModel
+		return nil, errModelNotFound
 	}
-	return places.Acquire(ctx, admission.Ticket{
+	return slots.Acquire(ctx, admission.Ticket{
 		Tenant:   completion.Tenant.Name,
 		Weight:   completion.Tenant.Weight,
 		Priority: priorityOf(completion),
@@ -117,66 +117,67 @@
 	return completion.Class.Priority
 }
 
-// Place implements dispatch.Placer. Where waiting can help it waits, by the
-// configuration in force at each moment, as long as the class may queue.
-func (place *placement) Place(ctx context.Context, excluded []string) (dispatch.Target, *failure.Failure) {
-	ctx, cancel := context.WithTimeout(ctx, place.completion.Class.QueueTimeout)
+// Place implements dispatch.Placer. While no engine is available but one may become
+// so, it retries with the active configuration until the queue timeout of the job
+// class.
+func (p *placement) Place(ctx context.Context, excluded []string) (dispatch.Target, *failure.Failure) {
+	ctx, cancel := context.WithTimeout(ctx, p.completion.Class.QueueTimeout)
 	defer cancel()
 	for {
-		target, reason, refusal := place.once(ctx, excluded)
+		target, reason, refusal := p.tryPlace(ctx, excluded)
 		if refusal != nil {
 			return dispatch.Target{}, refusal
 		}
 		if target != nil {
 			return *target, nil
 		}
-		if ctx.Err() != nil || !place.willPass(reason) {
+		if ctx.Err() != nil || !p.mayRecover(reason) {
 			return dispatch.Target{}, failure.New(failure.KindNoEndpoint, "no engine can take the request now ("+string(reason)+")",
-				"send it again after the time given").WithRetryAfter(noEndpointWait)
+				"send it again after the time given").WithRetryAfter(noEndpointRetryAfter)
 		}
 		select {
-		case <-time.After(placeInterval):
+		case <-time.After(placementRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// once tries to place the request by the configuration in force now.
-func (place *placement) once(ctx context.Context, excluded []string) (*dispatch.Target, routing.Reason, *failure.Failure) {
-	snapshot := place.node.catalog.snapshot.Load()
-	model, found := snapshot.Model(place.model)
-	pools := snapshot.PoolsFor(place.completion.Tenant, place.model)
+// tryPlace makes one attempt to place the request with the active configuration.
+func (p *placement) tryPlace(ctx context.Context, excluded []string) (*dispatch.Target, routing.Reason, *failure.Failure) {
+	snapshot := p.node.activeConfig.snapshot.Load()
+	model, found := snapshot.Model(p.model)
+	pools := snapshot.PoolsFor(p.completion.Tenant, p.model)
 	if !found || len(pools) == 0 {
-		return nil, "", errNoModel
+		return nil, "", errModelNotFound
 	}
-	if place.completion.Emitted() != "" && model.Version != place.version {
-		// Text of two versions in one answer would be neither's.
+	if p.completion.EmittedText() != "" && model.Version != p.version {
+		// A response must not mix the text of two model versions.
 		return nil, "", failure.New(failure.KindStreamBroken, "the model's version changed while the answer was written", "send the request again").
-			WithRetryAfter(noEndpointWait)
+			WithRetryAfter(noEndpointRetryAfter)
 	}
-	place.pools = pools
-	place.identify(model, pools[0])
-	target, reason := place.choose(ctx, snapshot, model, excluded)
+	p.pools = pools
+	p.updateChain(model, pools[0])
+	target, reason := p.selectEngine(ctx, snapshot, model, excluded)
 	if target == nil && reason == routing.ReasonNotReady {
-		place.node.probeUnknown(ctx, pools)
-		target, reason = place.choose(ctx, snapshot, model, excluded)
+		p.node.probeUnknown(ctx, pools)
+		target, reason = p.selectEngine(ctx, snapshot, model, excluded)
 	}
 	if target == nil && reason == routing.ReasonExcluded {
-		// All were tried; one of them may have recovered, such as an engine that
-		// had merely restarted.
-		target, reason = place.choose(ctx, snapshot, model, nil)
+		// All engines were tried; one of them may have recovered, such as an engine
+		// that had only restarted.
+		target, reason = p.selectEngine(ctx, snapshot, model, nil)
 	}
 	return target, reason, nil
 }
 
-// willPass reports whether waiting can help: engines are full, or one is loading
-// the model.
-func (place *placement) willPass(reason routing.Reason) bool {
+// mayRecover reports whether waiting may help: engines are full, or one of them is
+// loading weights.
+func (p *placement) mayRecover(reason routing.Reason) bool {
 	if reason == routing.ReasonFull {
 		return true
 	}
-	for _, pool := range place.pools {
-		for _, candidate := range place.node.table.Candidates(nil, pool.Name, "", "", boottime.Now()) {
+	for _, pool := range p.pools {
+		for _, candidate := range p.node.table.Candidates(nil, pool.Name, "", "", boottime.Now()) {
 			if candidate.Loading && !candidate.Down && !candidate.Leaving {
 				return true
 			}
@@ -185,65 +186,65 @@
 	return false
 }
 
-func (place *placement) identify(model *configuration.Model, pool *configuration.Pool) {
-	identity := prefix.Identity{Tenant: place.completion.Tenant.Name, Model: model.Name, Version: model.Version, Adapter: place.adapter}
-	salt := prefix.Salt(place.node.key, identity)
-	if salt != place.salt {
-		place.version = model.Version
-		place.salt = salt
-		place.chain = prefix.Chain(salt, place.prompt, pool.BlockBytes)
-		if len(place.chain) > 0 {
-			place.node.hot.add(place.chain[0], identity.Tenant, identity.Model, boottime.Now())
+func (p *placement) updateChain(model *configuration.Model, pool *configuration.Pool) {
+	identity := prefix.Identity{Tenant: p.completion.Tenant.Name, Model: model.Name, Version: model.Version, Adapter: p.adapter}
+	salt := prefix.Salt(p.node.key, identity)
+	if salt != p.salt {
+		p.version = model.Version
+		p.salt = salt
+		p.chain = prefix.Chain(salt, p.prompt, pool.BlockBytes)
+		if len(p.chain) > 0 {
+			p.node.hotPrefixes.add(p.chain[0], identity.Tenant, identity.Model, boottime.Now())
 		}
 	}
 }
 
-// scratch is the memory of one decision, used again by later ones.
-type scratch struct {
+// schedulingBuffer holds the buffers of one scheduling decision, for reuse.
+type schedulingBuffer struct {
 	scheduler  *routing.Scheduler
 	candidates []routing.Candidate
 }
 
-var scratches = sync.Pool{New: func() any { return &scratch{scheduler: routing.NewScheduler()} }}
+var schedulingBuffers = sync.Pool{New: func() any { return &schedulingBuffer{scheduler: routing.NewScheduler()} }}
 
-// choose decides on an engine by what this node knows, and counts the request as
-// sent to it.
-func (place *placement) choose(ctx context.Context, snapshot *configuration.Snapshot, model *configuration.Model, excluded []string) (*dispatch.Target, routing.Reason) {
-	node := place.node
+// selectEngine selects an engine by this node's view of the fleet and counts the
+// request as in flight on it.
+func (p *placement) selectEngine(ctx context.Context, snapshot *configuration.Snapshot, model *configuration.Model, excluded []string) (*dispatch.Target, routing.Reason) {
+	node := p.node
 	now := boottime.Now()
-	depths := node.expected.Lookup(now, node.lookup(ctx, place.chain), place.chain)
-	memory := scratches.Get().(*scratch)
-	defer scratches.Put(memory)
-	memory.candidates = memory.candidates[:0]
-	for _, pool := range place.pools {
-		memory.candidates = node.table.Candidates(memory.candidates, pool.Name, model.Name, model.Version, now)
+	depths := node.expected.Lookup(now, node.lookupPrefix(ctx, p.chain), p.chain)
+	buffer := schedulingBuffers.Get().(*schedulingBuffer)
+	defer schedulingBuffers.Put(buffer)
+	buffer.candidates = buffer.candidates[:0]
+	for _, pool := range p.pools {
+		buffer.candidates = node.table.Candidates(buffer.candidates, pool.Name, model.Name, model.Version, now)
 	}
-	request := place.request(snapshot.Declaration.Routing)
-	memory.scheduler.Annotate(memory.candidates, place.affinityKey(depths), depths, place.storeName())
-	routing.Exclude(memory.candidates, excluded)
-	decision := memory.scheduler.Schedule(request, memory.candidates)
+	request := p.schedulingRequest(snapshot.Declaration.Routing)
+	buffer.scheduler.Annotate(buffer.candidates, p.affinityKey(depths), depths, p.storeName())
+	routing.Exclude(buffer.candidates, excluded)
+	decision := buffer.scheduler.Schedule(request, buffer.candidates)
 	if decision.Index < 0 {
 		return nil, decision.LastRejection
 	}
-	chosen := memory.candidates[decision.Index]
+	chosen := buffer.candidates[decision.Index]
 	missing, imported := routing.MissingTokens(request, &chosen)
-	place.importBlocks = 0
+	p.importBlocks = 0
 	if imported > 0 {
-		place.importBlocks = chosen.ImportBlocks
+		p.importBlocks = chosen.ImportBlocks
 	}
 	node.table.Begin(chosen.Endpoint, missing, now)
-	node.expected.Add(now, prefixindex.NewHolder(chosen.Endpoint, chosen.Epoch), place.chain)
+	node.expected.Add(now, prefixindex.NewHolder(chosen.Endpoint, chosen.Epoch), p.chain)
 	return &dispatch.Target{Endpoint: chosen.Endpoint, Address: chosen.Address, Epoch: chosen.Epoch, Weights: model.Version}, routing.Accepted
 }
 
-// request describes the prompt to the scheduler. The pools of one model are taken
-// to be alike, and the first one's figures stand for all.
-func (place *placement) request(weights configuration.Routing) *routing.Request {
-	pool := place.pools[0]
+// schedulingRequest describes the prompt to the scheduler. The pools of one model
+// are assumed to be alike, so the parameters of the first one are used for all.
+func (p *placement) schedulingRequest(weights configuration.Routing) *routing.Request {
+	pool := p.pools[0]
 	request := &routing.Request{
-		PromptTokens:           len(place.prompt)/bytesPerToken + 1,
+		PromptTokens:           len(p.prompt)/bytesPerToken + 1,
 		BlockTokens:            pool.BlockBytes / bytesPerToken,
-		Blocks:                 len(place.chain),
+		Blocks:                 len(p.chain),
 		PrefillTokensPerSecond: pool.PrefillTokensPerSecond,
 		ConcurrentPerEngine:    pool.ConcurrentPerEngine,
 		WaitWeight:             weights.WaitWeight,
@@ -255,27 +256,28 @@
 	return request
 }
 
-// storeName names the kept-KV store among the index's holders, or "".
-func (place *placement) storeName() string {
-	if store := place.pools[0].PrefixStore; store != nil {
+// storeName returns the name of the prefix store in the index, or "" if the pool has
+// none.
+func (p *placement) storeName() string {
+	if store := p.pools[0].PrefixStore; store != nil {
 		return store.Name
 	}
 	return ""
 }
 
-func (place *placement) affinityKey(depths []prefixindex.Depth) prefix.Hash {
-	if len(place.chain) == 0 {
-		return prefix.KeyOf(place.salt)
+func (p *placement) affinityKey(depths []prefixindex.Depth) prefix.Hash {
+	if len(p.chain) == 0 {
+		return prefix.HashName(p.salt)
 	}
-	return routing.AffinityKey(place.chain, depths, place.storeName())
+	return routing.AffinityKey(p.chain, depths, p.storeName())
 }
 
-// Ended implements dispatch.Placer.
-func (place *placement) Ended(target dispatch.Target, failed bool) {
-	place.node.ended(target.Endpoint, failed)
+// ReportResult implements dispatch.Placer.
+func (p *placement) ReportResult(target dispatch.Target, failed bool) {
+	p.node.reportResult(target.Endpoint, failed)
 }
 
-func (node *Node) ended(endpoint string, failed bool) {
+func (node *Node) reportResult(endpoint string, failed bool) {
 	result := "ok"
 	if failed {
 		result = "failed"
@@ -284,23 +286,23 @@
 	node.table.End(endpoint, failed, boottime.Now())
 }
 
-// Alive implements dispatch.Placer.
-func (place *placement) Alive(target dispatch.Target) context.Context {
-	return place.node.table.Alive(target.Endpoint)
+// IncarnationContext implements dispatch.Placer.
+func (p *placement) IncarnationContext(target dispatch.Target) context.Context {
+	return p.node.table.IncarnationContext(target.Endpoint)
 }
 
-// Stale implements dispatch.Placer: it asks the engine itself, and tells the
-// fleet what it finds. When a zone is lost, the engines' readers are lost with
-// them; those who meet the dead engines then tell the others. A reader that does
-// get through contradicts.
-func (place *placement) Stale(target dispatch.Target) {
+// ReportStale implements dispatch.Placer. It probes the engine and publishes the
+// result to the fleet. When a zone fails, the observers of its engines fail with
+// them, so the nodes that encounter dead engines have to report them. An observer
+// that still reaches its engine corrects a wrong report.
+func (p *placement) ReportStale(target dispatch.Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	status, err := place.node.engines.Status(ctx, target.Address)
-	place.node.observe(target.Endpoint, endpoint.Observation{Answered: err == nil, Status: status})
+	status, err := p.node.engines.Status(ctx, target.Address)
+	p.node.observe(target.Endpoint, endpoint.Observation{Responded: err == nil, Status: status})
 }
 
-// probeUnknown asks a few engines that were never seen for their state.
+// probeUnknown queries the status of a few engines that have no observed state.
 func (node *Node) probeUnknown(ctx context.Context, pools []*configuration.Pool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -308,14 +310,14 @@
 	probes := 0
 	for _, pool := range pools {
 		for _, engine := range pool.Engines {
-			known, found := node.table.Record(engine.Name)
-			if !found || known.Epoch != "" || probes >= probesAtOnce {
+			record, found := node.table.Record(engine.Name)
+			if !found || record.Epoch != "" || probes >= maxConcurrentProbes {
 				continue
 			}
 			probes++
 			done.Go(func() {
 				if status, err := node.engines.Status(ctx, engine.Address); err == nil {
-					node.observe(engine.Name, endpoint.Observation{Answered: true, Status: status})
+					node.observe(engine.Name, endpoint.Observation{Responded: true, Status: status})
 				}
 			})
 		}
@@ -323,11 +325,11 @@
 	done.Wait()
 }
 
-// body builds the engine's request: the caller's own with the fields that the
-// fleet sets. Unknown fields pass through.
-func (place *placement) body(continueAt int) ([]byte, error) {
+// body builds the engine's request: the caller's request with the fields that nodes
+// set. Unknown fields are forwarded unchanged.
+func (p *placement) body(continueAt int) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
-	decoder := json.NewDecoder(bytes.NewReader(place.completion.Body))
+	decoder := json.NewDecoder(bytes.NewReader(p.completion.Body))
 	if err := decoder.Decode(&fields); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -336,15 +338,15 @@
 	}
 	set("stream", true)
 	set("stream_options", engineapi.StreamOptions{IncludeUsage: true})
-	set("cache_salt", place.salt)
-	set("priority", priorityOf(place.completion))
+	set("cache_salt", p.salt)
+	set("priority", priorityOf(p.completion))
 	delete(fields, "continue_from")
 	delete(fields, "kv_transfer")
-	if store := place.pools[0].PrefixStore; store != nil {
-		set("kv_transfer", engineapi.Transfer{Store: store.Address, ImportBlocks: place.importBlocks})
+	if store := p.pools[0].PrefixStore; store != nil {
+		set("kv_transfer", engineapi.Transfer{Store: store.Address, ImportBlocks: p.importBlocks})
 	}
 	if continueAt > 0 {
-		set("continue_from", engineapi.Continuation{Text: place.completion.Emitted(), Offset: continueAt})
+		set("continue_from", engineapi.Continuation{Text: p.completion.EmittedText(), Offset: continueAt})
 	}
 	return json.Marshal(fields)
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -18,17 +18,18 @@
 
 const endpointItemPrefix = "endpoint/"
 
-// gossip drives the membership machine.
+// gossip drives the membership state machine.
 type gossip struct {
 	mutex     sync.Mutex
 	machine   *membership.Machine
-	datagrams *peer.Datagrams[membership.Message]
-	changed   func(membership.Change)
+	datagrams *peer.DatagramConn[membership.Message]
+	onChange  func(membership.Change)
 	metrics   *metrics.Set
-	// ticked is when the machine last ticked, with its steady reading; nil before that.
-	ticked atomic.Pointer[time.Time]
-	// live caches the addresses of usable nodes.
-	live atomic.Pointer[[]membership.Member]
+	// lastTick is the time of the machine's last tick on the boot-time clock; nil
+	// before the first one.
+	lastTick atomic.Pointer[time.Time]
+	// liveMembers caches the members that are neither dead nor draining.
+	liveMembers atomic.Pointer[[]membership.Member]
 }
 
 func newGossip(address, zone string, seeds []string, credentials *peer.Credentials, blocked func(string) bool, set *metrics.Set) (*gossip, error) {
@@ -36,29 +37,29 @@
 	if err != nil {
 		return nil, err
 	}
-	// A process that starts later at the address has a higher incarnation.
+	// A process started later on the same address gets a higher incarnation.
 	self := membership.Member{Address: address, Zone: zone, Incarnation: uint64(time.Now().UnixMilli())}
 	random := rand.New(rand.NewPCG(self.Incarnation, rand.Uint64()))
-	created := &gossip{
+	g := &gossip{
 		machine:   membership.NewMachine(membership.DefaultConfig, self, seeds, random),
 		datagrams: datagrams,
 		metrics:   set,
 	}
-	created.refresh()
-	return created, nil
+	g.updateLive()
+	return g, nil
 }
 
-// run ticks and receives until the context ends.
+// run ticks the machine and receives messages until the context ends.
 func (gossip *gossip) run(ctx context.Context) {
 	go gossip.datagrams.Receive(func(message membership.Message) {
-		gossip.do(func(machine *membership.Machine) membership.Output { return machine.Receive(boottime.Now(), message) })
+		gossip.apply(func(machine *membership.Machine) membership.Output { return machine.Receive(boottime.Now(), message) })
 	})
 	ticker := time.NewTicker(membership.TickInterval)
 	defer ticker.Stop()
 	for {
-		gossip.do(func(machine *membership.Machine) membership.Output { return machine.Tick(boottime.Now()) })
+		gossip.apply(func(machine *membership.Machine) membership.Output { return machine.Tick(boottime.Now()) })
 		now := boottime.Now()
-		gossip.ticked.Store(&now)
+		gossip.lastTick.Store(&now)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -67,32 +68,33 @@
 	}
 }
 
-// paused reports whether this process stood still for so long that others may
-// have declared it dead, and has not noticed yet.
+// paused reports whether this process was suspended for so long that peers may have
+// declared it dead, and has not processed a tick since.
 func (gossip *gossip) paused() bool {
-	ticked := gossip.ticked.Load()
-	return ticked == nil || boottime.Since(*ticked) > membership.DefaultConfig.PauseLimit
+	lastTick := gossip.lastTick.Load()
+	return lastTick == nil || boottime.Since(*lastTick) > membership.DefaultConfig.PauseThreshold
 }
 
-func (gossip *gossip) do(step func(*membership.Machine) membership.Output) {
+func (gossip *gossip) apply(step func(*membership.Machine) membership.Output) {
 	gossip.mutex.Lock()
 	output := step(gossip.machine)
 	if len(output.Changes) > 0 {
-		gossip.refresh()
+		gossip.updateLive()
 	}
 	gossip.mutex.Unlock()
 	for _, message := range output.Messages {
 		gossip.metrics.DatagramsSent.Inc()
-		// Loss is what the protocol is made for.
+		// The protocol tolerates the loss of datagrams.
 		_ = gossip.datagrams.Send(message.To, message)
 	}
 	for _, change := range output.Changes {
-		gossip.changed(change)
+		gossip.onChange(change)
 	}
 }
 
-// refresh must be called with the lock held.
-func (gossip *gossip) refresh() {
+// updateLive updates the cached members and the member metrics. The caller must
+// hold the mutex.
+func (gossip *gossip) updateLive() {
 	live := []membership.Member{}
 	counts := map[membership.Status]int{}
 	for _, member := range gossip.machine.Members() {
@@ -101,16 +103,16 @@
 			live = append(live, member)
 		}
 	}
-	gossip.live.Store(&live)
+	gossip.liveMembers.Store(&live)
 	for status := membership.Alive; status <= membership.Left; status++ {
 		gossip.metrics.Members.WithLabelValues(status.String()).Set(float64(counts[status]))
 	}
 }
 
-// members lists the nodes that take work, this one included.
-func (gossip *gossip) members() []membership.Member { return *gossip.live.Load() }
+// members returns the nodes that accept work, including this one.
+func (gossip *gossip) members() []membership.Member { return *gossip.liveMembers.Load() }
 
-// addresses lists their addresses.
+// addresses returns the addresses of the nodes that accept work.
 func (gossip *gossip) addresses() []string {
 	members := gossip.members()
 	addresses := make([]string, len(members))
@@ -120,33 +122,34 @@
 	return addresses
 }
 
-// view returns what this node says of itself, and the digest of its view.
-func (gossip *gossip) view() (membership.Member, uint64) {
+// selfAndDigest returns this node's own member entry and the digest of its
+// membership view.
+func (gossip *gossip) selfAndDigest() (membership.Member, uint64) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.machine.Self(), gossip.machine.Digest()
 }
 
-// all lists every known member and item.
-func (gossip *gossip) all() ([]membership.Member, []membership.Item) {
+// membersAndItems returns all known members and items.
+func (gossip *gossip) membersAndItems() ([]membership.Member, []membership.Item) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.machine.Members(), gossip.machine.Items()
 }
 
 func (gossip *gossip) merge(members []membership.Member, items []membership.Item) {
-	gossip.do(func(machine *membership.Machine) membership.Output {
+	gossip.apply(func(machine *membership.Machine) membership.Output {
 		return machine.Merge(boottime.Now(), members, items)
 	})
 }
 
-func (gossip *gossip) offer(record endpoint.Record) {
+func (gossip *gossip) offerRecord(record endpoint.Record) {
 	var data bytes.Buffer
 	if gob.NewEncoder(&data).Encode(record) != nil {
 		return
 	}
 	item := membership.Item{Key: endpointItemPrefix + record.Name, Version: record.Version, Data: data.Bytes()}
-	gossip.do(func(machine *membership.Machine) membership.Output { return machine.Offer(item) })
+	gossip.apply(func(machine *membership.Machine) membership.Output { return machine.BroadcastItem(item) })
 }
 
 func decodeRecord(item membership.Item) (endpoint.Record, bool) {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -9,46 +9,47 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// lifecycle counts open requests and refuses new ones when the node must.
+// lifecycle counts open requests and rejects new ones while the node is stopping or
+// suspended.
 type lifecycle struct {
 	mutex     sync.Mutex
 	requests  int
 	unready   bool
-	refusing  bool
+	rejecting bool
 	suspended bool
-	// refusedAt is when the last request came to the stopping node.
-	refusedAt time.Time
-	idle      chan struct{}
+	// lastRejectedAt is when the stopping node last rejected a request.
+	lastRejectedAt time.Time
+	idle           chan struct{}
 }
 
 func newLifecycle() *lifecycle {
 	return &lifecycle{idle: make(chan struct{})}
 }
 
-// enter admits a request; the returned function ends it.
-func (lifecycle *lifecycle) enter() (func(), *failure.Failure) {
+// begin admits a request; the returned function ends it.
+func (lifecycle *lifecycle) begin() (func(), *failure.Failure) {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
 	switch {
-	case lifecycle.refusing:
-		lifecycle.refusedAt = boottime.Now()
+	case lifecycle.rejecting:
+		lifecycle.lastRejectedAt = boottime.Now()
 		return nil, failure.New(failure.KindStopping, "this node is stopping", "send the request to another node").WithRetryAfter(time.Second)
 	case lifecycle.suspended:
 		return nil, failure.New(failure.KindUnavailable, "this node was paused and is catching up", "send the request to another node").WithRetryAfter(time.Second)
 	}
 	lifecycle.requests++
-	return sync.OnceFunc(lifecycle.leave), nil
+	return sync.OnceFunc(lifecycle.end), nil
 }
 
-func (lifecycle *lifecycle) leave() {
+func (lifecycle *lifecycle) end() {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
 	lifecycle.requests--
-	lifecycle.signal()
+	lifecycle.closeIfIdle()
 }
 
-func (lifecycle *lifecycle) signal() {
-	if lifecycle.refusing && lifecycle.requests == 0 {
+func (lifecycle *lifecycle) closeIfIdle() {
+	if lifecycle.rejecting && lifecycle.requests == 0 {
 		select {
 		case <-lifecycle.idle:
 		default:
@@ -57,45 +58,45 @@
 	}
 }
 
-func (lifecycle *lifecycle) set(change func()) {
+func (lifecycle *lifecycle) update(change func()) {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
 	change()
-	lifecycle.signal()
+	lifecycle.closeIfIdle()
 }
 
-func (lifecycle *lifecycle) stopReadiness() { lifecycle.set(func() { lifecycle.unready = true }) }
-func (lifecycle *lifecycle) refuse()        { lifecycle.set(func() { lifecycle.refusing = true }) }
-func (lifecycle *lifecycle) suspend()       { lifecycle.set(func() { lifecycle.suspended = true }) }
-func (lifecycle *lifecycle) resume()        { lifecycle.set(func() { lifecycle.suspended = false }) }
+func (lifecycle *lifecycle) markUnready() { lifecycle.update(func() { lifecycle.unready = true }) }
+func (lifecycle *lifecycle) reject()      { lifecycle.update(func() { lifecycle.rejecting = true }) }
+func (lifecycle *lifecycle) suspend()     { lifecycle.update(func() { lifecycle.suspended = true }) }
+func (lifecycle *lifecycle) resume()      { lifecycle.update(func() { lifecycle.suspended = false }) }
 
 func (lifecycle *lifecycle) ready() bool {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
-	return !lifecycle.unready && !lifecycle.refusing && !lifecycle.suspended
+	return !lifecycle.unready && !lifecycle.rejecting && !lifecycle.suspended
 }
 
 func (lifecycle *lifecycle) draining() bool {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
-	return lifecycle.unready || lifecycle.refusing
+	return lifecycle.unready || lifecycle.rejecting
 }
 
-func (lifecycle *lifecycle) open() int {
+func (lifecycle *lifecycle) openRequests() int {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
 	return lifecycle.requests
 }
 
-// quiet reports whether no request has come to the stopping node for a while.
-func (lifecycle *lifecycle) quiet(while time.Duration) bool {
+// idleFor reports whether the stopping node has rejected no request for a duration.
+func (lifecycle *lifecycle) idleFor(duration time.Duration) bool {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
-	return boottime.Since(lifecycle.refusedAt) >= while
+	return boottime.Since(lifecycle.lastRejectedAt) >= duration
 }
 
-// wait returns when no request is open, or with the context.
-func (lifecycle *lifecycle) wait(ctx context.Context) {
+// awaitIdle returns when no request is open or the context ends.
+func (lifecycle *lifecycle) awaitIdle(ctx context.Context) {
 	select {
 	case <-lifecycle.idle:
 	case <-ctx.Done():
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -16,193 +16,196 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// takeTimeout is what a request waits for its tenant's ledger.
-const takeTimeout = 50 * time.Millisecond
+// issueTimeout bounds the wait of a request for its tenant's token issuer.
+const issueTimeout = 50 * time.Millisecond
 
-// resizeInterval is how often the places follow the back ends.
+// resizeInterval is how often the slot pools are resized to the usable backends.
 const resizeInterval = 250 * time.Millisecond
 
-// forgetAfter is how long a tenant's use is remembered without calls.
-const forgetAfter = 5 * time.Minute
+// tenantIdleExpiry is how long the state of a tenant without requests is kept.
+const tenantIdleExpiry = 5 * time.Minute
 
-// limits keeps what this node knows of its tenants' use.
+// limits holds the rate and concurrency limits enforced by this node.
 type limits struct {
-	mutex   sync.Mutex
-	ledger  *admission.TokenIssuer
-	tenants map[string]*tenantUse
-	places  map[string]*admission.SlotPool
+	mutex       sync.Mutex
+	tokenIssuer *admission.TokenIssuer
+	tenants     map[string]*tenantState
+	slotPools   map[string]*admission.SlotPool
 }
 
-// tenantUse is one tenant's use of this node. It exists only for tenants that
-// have called here.
-type tenantUse struct {
-	mutex   sync.Mutex
-	share   *admission.TokenLease
-	streams int
-	budget  *retry.Budget
-	usedAt  time.Time
+// tenantState is one tenant's usage of this node. It exists only for tenants that
+// have sent requests to this node.
+type tenantState struct {
+	mutex      sync.Mutex
+	lease      *admission.TokenLease
+	streams    int
+	budget     *retry.Budget
+	lastUsedAt time.Time
 }
 
 func newLimits() *limits {
-	return &limits{ledger: admission.NewTokenIssuer(), tenants: map[string]*tenantUse{}, places: map[string]*admission.SlotPool{}}
+	return &limits{tokenIssuer: admission.NewTokenIssuer(), tenants: map[string]*tenantState{}, slotPools: map[string]*admission.SlotPool{}}
 }
 
-func (limits *limits) tenant(name string) *tenantUse {
+func (limits *limits) tenant(name string) *tenantState {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	use, found := limits.tenants[name]
+	state, found := limits.tenants[name]
 	if !found {
-		use = &tenantUse{share: admission.NewTokenLease(), budget: retry.NewBudget(retry.DefaultBudget, boottime.Now())}
-		limits.tenants[name] = use
+		state = &tenantState{lease: admission.NewTokenLease(), budget: retry.NewBudget(retry.DefaultBudget, boottime.Now())}
+		limits.tenants[name] = state
 	}
-	use.usedAt = boottime.Now()
-	return use
+	state.lastUsedAt = boottime.Now()
+	return state
 }
 
-// forget drops tenants that have not called for a while: a node must not keep
-// state for every tenant that ever came by.
-func (limits *limits) forget(now time.Time) {
+// evictIdle removes idle tenants, so that a node does not keep state for every
+// tenant that ever sent a request.
+func (limits *limits) evictIdle(now time.Time) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	for name, use := range limits.tenants {
-		use.mutex.Lock()
-		idle := use.streams == 0 && now.Sub(use.usedAt) > forgetAfter
-		use.mutex.Unlock()
+	for name, state := range limits.tenants {
+		state.mutex.Lock()
+		idle := state.streams == 0 && now.Sub(state.lastUsedAt) > tenantIdleExpiry
+		state.mutex.Unlock()
 		if idle {
 			delete(limits.tenants, name)
 		}
 	}
 }
 
-// configure sizes the places of each pool.
+// configure creates or resizes the slot pool of each pool.
 func (limits *limits) configure(snapshot *configuration.Snapshot) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	kept := map[string]*admission.SlotPool{}
+	updated := map[string]*admission.SlotPool{}
 	for _, pool := range snapshot.Declaration.Pools {
 		total := pool.ConcurrentPerEngine * len(pool.Engines)
-		places, found := limits.places[pool.Name]
+		slots, found := limits.slotPools[pool.Name]
 		if found {
-			places.Resize(total)
+			slots.Resize(total)
 		} else {
-			places = admission.NewSlotPool(total)
+			slots = admission.NewSlotPool(total)
 		}
-		kept[pool.Name] = places
+		updated[pool.Name] = slots
 	}
-	limits.places = kept
+	limits.slotPools = updated
 }
 
-// resizePlaces follows the back ends that come and go, so that requests queue
-// here rather than being refused for want of an engine, and forgets idle tenants.
-func (node *Node) resizePlaces(ctx context.Context) {
-	every(ctx, resizeInterval, func() {
-		node.limits.forget(boottime.Now())
-		snapshot := node.catalog.snapshot.Load()
+// resizeSlotPools periodically sizes the slot pools by the usable backends, so that
+// requests queue on the node rather than fail for lack of an engine. It also evicts
+// idle tenants.
+func (node *Node) resizeSlotPools(ctx context.Context) {
+	runPeriodically(ctx, resizeInterval, func() {
+		node.limits.evictIdle(boottime.Now())
+		snapshot := node.activeConfig.snapshot.Load()
 		if snapshot == nil {
 			return
 		}
 		for _, pool := range snapshot.Declaration.Pools {
-			if places, found := node.limits.poolPlaces(pool.Name); found {
-				places.Resize(pool.ConcurrentPerEngine * max(1, node.table.Usable(pool.Name)))
+			if slots, found := node.limits.slotPool(pool.Name); found {
+				slots.Resize(pool.ConcurrentPerEngine * max(1, node.table.CountUsable(pool.Name)))
 			}
 		}
 	})
 }
 
-// poolPlaces finds the places of a pool; a pool that was just taken out of the
-// declaration has none.
-func (limits *limits) poolPlaces(pool string) (*admission.SlotPool, bool) {
+// slotPool returns the slot pool of a pool, if any: a pool that was just removed
+// from the declaration has none.
+func (limits *limits) slotPool(pool string) (*admission.SlotPool, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	places, found := limits.places[pool]
-	return places, found
+	slots, found := limits.slotPools[pool]
+	return slots, found
 }
 
-func (limits *limits) take(tenant string, limit admission.Rate, want int) int {
+func (limits *limits) issueTokens(tenant string, limit admission.Rate, want int) int {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
-	return limits.ledger.Issue(boottime.Now(), tenant, limit, want)
+	return limits.tokenIssuer.Issue(boottime.Now(), tenant, limit, want)
 }
 
-// Admit checks the tenant's rate and open streams. The returned function ends
-// the request's count.
-func (node *Node) Admit(ctx context.Context, tenant *configuration.Tenant) (done func(), err error) {
-	use := node.limits.tenant(tenant.Name)
-	if !node.spend(ctx, tenant, use) {
+// AdmitTenant checks the tenant's request rate and open streams. The returned
+// function ends the request.
+func (node *Node) AdmitTenant(ctx context.Context, tenant *configuration.Tenant) (done func(), err error) {
+	state := node.limits.tenant(tenant.Name)
+	if !node.spendToken(ctx, tenant, state) {
 		return nil, failure.New(failure.KindRateLimited, "the tenant's request rate is used up", "send fewer requests, or ask for a higher limit").
 			WithRetryAfter(max(time.Second, time.Duration(float64(time.Second)/tenant.Limits.RequestsPerSecond)))
 	}
-	use.mutex.Lock()
-	defer use.mutex.Unlock()
-	if use.streams >= tenant.Limits.Streams {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	if state.streams >= tenant.Limits.Streams {
 		return nil, failure.New(failure.KindRateLimited, "the tenant has too many open requests", "wait for some to end").WithRetryAfter(time.Second)
 	}
-	use.streams++
-	use.budget.Deposit(boottime.Now())
+	state.streams++
+	state.budget.Deposit(boottime.Now())
 	node.metrics.OpenStreams.Inc()
 	return sync.OnceFunc(func() {
-		use.mutex.Lock()
-		defer use.mutex.Unlock()
-		use.streams--
+		state.mutex.Lock()
+		defer state.mutex.Unlock()
+		state.streams--
 		node.metrics.OpenStreams.Dec()
 	}), nil
 }
 
-// spend uses a token of the tenant's rate, asking its ledger for more when none
-// is at hand. A ledger that does not answer leaves this node's even part.
-func (node *Node) spend(ctx context.Context, tenant *configuration.Tenant, use *tenantUse) bool {
-	use.mutex.Lock()
-	if use.share.Spend(boottime.Now()) {
-		use.mutex.Unlock()
+// spendToken spends a token of the tenant's rate and requests more from its token
+// issuer when none is left. If the issuer does not respond, the node is limited to
+// its even share of the rate.
+func (node *Node) spendToken(ctx context.Context, tenant *configuration.Tenant, state *tenantState) bool {
+	state.mutex.Lock()
+	if state.lease.Spend(boottime.Now()) {
+		state.mutex.Unlock()
 		return true
 	}
-	want := use.share.RequestSize()
-	use.mutex.Unlock()
-	tokens, err := node.takeTokens(ctx, tenant, want)
-	use.mutex.Lock()
-	defer use.mutex.Unlock()
+	want := state.lease.RequestSize()
+	state.mutex.Unlock()
+	tokens, err := node.requestTokens(ctx, tenant, want)
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
 	now := boottime.Now()
 	if err != nil {
 		limit := admission.Rate{PerSecond: tenant.Limits.RequestsPerSecond, Burst: tenant.Limits.Burst}
-		return use.share.SpendFallback(now, limit, len(node.gossip.members()))
+		return state.lease.SpendFallback(now, limit, len(node.gossip.members()))
 	}
 	if tokens == 0 {
 		return false
 	}
-	use.share.Refill(now, tokens-1)
+	state.lease.Refill(now, tokens-1)
 	return true
 }
 
-func (node *Node) takeTokens(ctx context.Context, tenant *configuration.Tenant, want int) (int, error) {
-	owner := prefix.Owner(prefix.KeyOf("tenant/"+tenant.Name), node.gossip.addresses())
+func (node *Node) requestTokens(ctx context.Context, tenant *configuration.Tenant, want int) (int, error) {
+	owner := prefix.Owner(prefix.HashName("tenant/"+tenant.Name), node.gossip.addresses())
 	if owner == node.settings.PeerAddress || owner == "" {
 		limit := admission.Rate{PerSecond: tenant.Limits.RequestsPerSecond, Burst: tenant.Limits.Burst}
-		return node.limits.take(tenant.Name, limit, want), nil
+		return node.limits.issueTokens(tenant.Name, limit, want), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, issueTimeout)
 	defer cancel()
-	answer, err := call[wire.TakeAnswer](ctx, node, owner, wire.TakeRequest{Tenant: tenant.Name, Want: want})
-	if err == nil && answer.Unknown {
+	response, err := callPeer[wire.TokenResponse](ctx, node, owner, wire.TokenRequest{Tenant: tenant.Name, Want: want})
+	if err == nil && response.Unknown {
 		err = errUnknownTenant
 	}
-	return answer.Tokens, err
+	return response.Tokens, err
 }
 
-// serveTake answers for the tenants whose ledger is here. A node that has no configuration yet,
-// or an older one, does not know the limit. Were it to give no tokens, the asker would refuse
-// what is within the limit; so it grants its own even part.
-func (node *Node) serveTake(request wire.TakeRequest) wire.TakeAnswer {
-	snapshot := node.catalog.snapshot.Load()
+// serveTokenRequest issues tokens for the tenants whose issuer is this node. With no
+// configuration yet, or an older one, it does not know the limit and says so: on
+// zero tokens the requester would reject requests within the limit, while on Unknown
+// it falls back to its even share.
+func (node *Node) serveTokenRequest(request wire.TokenRequest) wire.TokenResponse {
+	snapshot := node.activeConfig.snapshot.Load()
 	if snapshot == nil {
-		return wire.TakeAnswer{Unknown: true}
+		return wire.TokenResponse{Unknown: true}
 	}
 	tenant, found := snapshot.Tenant(request.Tenant)
 	if !found {
-		return wire.TakeAnswer{Unknown: true}
+		return wire.TokenResponse{Unknown: true}
 	}
 	limit := admission.Rate{PerSecond: tenant.Limits.RequestsPerSecond, Burst: tenant.Limits.Burst}
-	return wire.TakeAnswer{Tokens: node.limits.take(tenant.Name, limit, request.Want)}
+	return wire.TokenResponse{Tokens: node.limits.issueTokens(tenant.Name, limit, request.Want)}
 }
 
-// errUnknownTenant says that the node of a tenant's ledger does not know the tenant yet.
+// errUnknownTenant reports that a tenant's token issuer does not know the tenant yet.
 var errUnknownTenant = errors.New("the tenant's ledger does not know it yet; wait until all nodes have the configuration")
--- a/internal/node/machinelist.go
+++ b/internal/node/machinelist.go
@@ -9,41 +9,42 @@
 	"github.com/cloverrail/cloverrail/internal/endpoint"
 )
 
-// machine is one entry of the platform's list.
+// machine is one entry of the platform's machine list.
 type machine struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	// Epoch is the incarnation that the entry speaks of.
+	// Epoch is the incarnation that the entry refers to.
 	Epoch string `json:"epoch"`
 }
 
-// machineLeaving is the state of machines that will go.
+// machineLeaving is the state of machines that will be shut down.
 const machineLeaving = "leaving"
 
-// followMachineList takes leaving machines from the platform's list. The list
-// lags: it may speak of an incarnation that is gone.
-func (node *Node) followMachineList(ctx context.Context) {
+// pollMachineList periodically marks the backends that the platform's machine list
+// reports as leaving. The list is delayed and may refer to an incarnation that has
+// already been replaced.
+func (node *Node) pollMachineList(ctx context.Context) {
 	if node.settings.MachineListAddress == "" {
 		return
 	}
 	client := &http.Client{Timeout: machineListInterval}
-	every(ctx, machineListInterval, func() {
+	runPeriodically(ctx, machineListInterval, func() {
 		var machines []machine
 		_, err := sling.New().Client(client).Get("http://"+node.settings.MachineListAddress+"/machines").Receive(&machines, nil)
 		if err == nil {
-			node.takeMachineList(machines)
+			node.applyMachineList(machines)
 		}
 	})
 }
 
-func (node *Node) takeMachineList(machines []machine) {
+func (node *Node) applyMachineList(machines []machine) {
 	for _, entry := range machines {
-		known, found := node.table.Record(entry.Name)
-		if !found || entry.State != machineLeaving || entry.Epoch != known.Epoch {
+		record, found := node.table.Record(entry.Name)
+		if !found || entry.State != machineLeaving || entry.Epoch != record.Epoch {
 			continue
 		}
-		if next, changed := endpoint.Leave(known); changed {
-			node.spread(known, next)
+		if next, changed := endpoint.MarkLeaving(record); changed {
+			node.publishRecord(record, next)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires the parts of one server process together. Decisions live
-// in the packages it calls; it owns the sockets, goroutines and clocks.
+// Package node connects the components of one server process. It owns the sockets,
+// goroutines and clocks; decisions are made by the packages that it calls.
 package node
 
 import (
@@ -30,22 +30,24 @@
 )
 
 const (
-	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 2 * time.Minute
-	syncTimeout       = 300 * time.Millisecond
-	resyncInterval    = 10 * time.Second
-	startInterval     = 100 * time.Millisecond
-	ownReadAfter      = 5 * time.Second
-	// expectedLife is how long a prompt sent to an engine counts as held there
-	// without the engine's word; events are at most that late.
-	expectedLife = time.Second
-	// callTimeout bounds calls between nodes that set no bound of their own.
+	readHeaderTimeout   = 5 * time.Second
+	idleTimeout         = 2 * time.Minute
+	syncTimeout         = 300 * time.Millisecond
+	resyncInterval      = 10 * time.Second
+	startupSyncInterval = 100 * time.Millisecond
+	directReadDelay     = 5 * time.Second
+	// expectedTTL is how long the blocks of a prompt sent to an engine are assumed to
+	// be cached there before a cache event confirms it; events are delayed by at most
+	// that.
+	expectedTTL = time.Second
+	// callTimeout bounds calls between nodes that set no shorter timeout.
 	callTimeout = time.Second
-	// lingerTime is how long a refusing node stays reachable after the last request
-	// came, for callers that did not see its readiness; lingerLimit bounds it.
-	lingerTime  = 500 * time.Millisecond
-	lingerLimit = 5 * time.Second
-	lingerPoll  = 20 * time.Millisecond
+	// lingerTime is how long a stopping node stays reachable after the last request
+	// that it rejected, for callers that missed its readiness change; lingerLimit
+	// bounds the total.
+	lingerTime         = 500 * time.Millisecond
+	lingerLimit        = 5 * time.Second
+	lingerPollInterval = 20 * time.Millisecond
 )
 
 // Node is one server process.
@@ -55,102 +57,102 @@
 	log      zerolog.Logger
 	metrics  *metrics.Set
 
-	gossip     *gossip
-	caller     *peer.Caller
-	peerHealth *peerHealth
-	catalog    *catalog
-	table      *endpoint.Table
-	home       *home
-	claims     *claims
-	limits     *limits
-	hot        *hotCounter
-	expected   *prefixindex.Expected
-	engines    *engineapi.Client
-	driver     *dispatch.Driver
-	forwarder  *plain.Forwarder
-	retries    *retry.Budget
-	lifecycle  *lifecycle
-	tasks      chan func(context.Context)
-	unwatched  bool
-	// met is closed once peers were asked for the first time.
-	met        chan struct{}
-	acquainted func()
+	gossip            *gossip
+	caller            *peer.Client
+	peerHealth        *peerHealth
+	activeConfig      *activeConfig
+	table             *endpoint.Table
+	indexPartition    *indexPartition
+	claims            *claims
+	limits            *limits
+	hotPrefixes       *hotPrefixCounter
+	expected          *prefixindex.SpeculativeIndex
+	engines           *engineapi.Client
+	driver            *dispatch.Driver
+	forwarder         *plain.Forwarder
+	retries           *retry.Budget
+	lifecycle         *lifecycle
+	tasks             chan func(context.Context)
+	observersDisabled bool
+	// synced is closed after the first synchronization with peers.
+	synced     chan struct{}
+	markSynced func()
 
-	peers net.Listener
-	creds *peer.Credentials
+	peers       net.Listener
+	credentials *peer.Credentials
 }
 
-// Options are what tests and the laboratory may replace.
+// Options holds overrides for tests and simulations.
 type Options struct {
-	// Blocked cuts the path to a peer.
+	// Blocked reports whether the connection to a peer is blocked.
 	Blocked func(address string) bool
-	// NoReaders leaves the back ends unwatched, as when their readers have died
-	// with them.
+	// NoReaders disables the observers of backends, as if they had failed together
+	// with the backends.
 	NoReaders bool
 }
 
-// New opens the sockets of a node. Its settings must have passed their check.
-func New(given settings.Settings, log zerolog.Logger, options Options) (*Node, error) {
-	credentials, err := peer.NewCredentials(given.Key())
+// New creates a node and opens its peer sockets. The settings must be validated.
+func New(nodeSettings settings.Settings, log zerolog.Logger, options Options) (*Node, error) {
+	credentials, err := peer.NewCredentials(nodeSettings.Key())
 	if err != nil {
 		return nil, err
 	}
 	set := metrics.New()
 	now := boottime.Now()
 	node := &Node{
-		settings:   given,
-		key:        given.Key(),
-		log:        log,
-		metrics:    set,
-		caller:     peer.NewCaller(credentials, options.Blocked),
-		peerHealth: newPeerHealth(),
-		table:      endpoint.NewTable(),
-		home:       newHome(),
-		claims:     newClaims(now),
-		limits:     newLimits(),
-		hot:        newHotCounter(),
-		expected:   prefixindex.NewExpected(expectedLife),
-		engines:    engineapi.NewClient(),
-		retries:    retry.NewBudget(retry.DefaultBudget, now),
-		lifecycle:  newLifecycle(),
-		tasks:      make(chan func(context.Context), 256),
-		creds:      credentials,
+		settings:       nodeSettings,
+		key:            nodeSettings.Key(),
+		log:            log,
+		metrics:        set,
+		caller:         peer.NewClient(credentials, options.Blocked),
+		peerHealth:     newPeerHealth(),
+		table:          endpoint.NewTable(),
+		indexPartition: newIndexPartition(),
+		claims:         newClaims(now),
+		limits:         newLimits(),
+		hotPrefixes:    newHotPrefixCounter(),
+		expected:       prefixindex.NewSpeculativeIndex(expectedTTL),
+		engines:        engineapi.NewClient(),
+		retries:        retry.NewBudget(retry.DefaultBudget, now),
+		lifecycle:      newLifecycle(),
+		tasks:          make(chan func(context.Context), 256),
+		credentials:    credentials,
 	}
-	node.unwatched = options.NoReaders
-	node.met = make(chan struct{})
-	node.acquainted = sync.OnceFunc(func() { close(node.met) })
+	node.observersDisabled = options.NoReaders
+	node.synced = make(chan struct{})
+	node.markSynced = sync.OnceFunc(func() { close(node.synced) })
 	node.driver = dispatch.NewDriver(node.engines, func(count int) { set.LateEvents.Add(float64(count)) })
 	node.forwarder = plain.NewForwarder(set.LateEvents.Inc)
-	service := kvservice.NewClient(given.KeyValueAddress)
-	node.catalog = &catalog{store: configstore.New(service), service: service, floor: given.RevisionFloor, log: log, metrics: set, prepare: node.configure, adopted: node.announce}
-	node.gossip, err = newGossip(given.PeerAddress, given.Zone, given.Seeds, credentials, options.Blocked, set)
+	service := kvservice.NewClient(nodeSettings.KeyValueAddress)
+	node.activeConfig = &activeConfig{store: configstore.New(service), service: service, minRevision: nodeSettings.RevisionFloor, log: log, metrics: set, beforeActivate: node.configure, afterActivate: node.announce}
+	node.gossip, err = newGossip(nodeSettings.PeerAddress, nodeSettings.Zone, nodeSettings.Seeds, credentials, options.Blocked, set)
 	if err != nil {
 		return nil, err
 	}
-	node.gossip.changed = node.memberChanged
-	if node.peers, err = net.Listen("tcp", given.PeerAddress); err != nil {
+	node.gossip.onChange = node.memberChanged
+	if node.peers, err = net.Listen("tcp", nodeSettings.PeerAddress); err != nil {
 		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
 	}
 	return node, nil
 }
 
-// configure prepares the parts that follow the configuration for a new snapshot,
-// before requests see it: a pool must have its places by then.
+// configure updates the components that depend on the configuration before requests
+// see a new snapshot, since the slot pools must exist by then.
 func (node *Node) configure(snapshot *configuration.Snapshot) {
 	node.table.Configure(snapshot)
 	node.limits.configure(snapshot)
 	node.claims.configure(snapshot.Declaration.Claims, boottime.Now())
-	_, items := node.gossip.all()
-	node.takeItems(items)
+	_, items := node.gossip.membersAndItems()
+	node.mergeItems(items)
 }
 
-// announce tells the fleet of a new revision, once peers can fetch it here.
+// announce publishes a new revision to the fleet once peers can fetch it here.
 func (node *Node) announce(snapshot *configuration.Snapshot) {
-	node.gossip.do(func(machine *membership.Machine) membership.Output { return machine.SetRevision(snapshot.Revision) })
+	node.gossip.apply(func(machine *membership.Machine) membership.Output { return machine.SetRevision(snapshot.Revision) })
 }
 
-// Run serves until the context ends, then stops as planned: it announces that
-// it drains, refuses new requests, and waits for open ones.
+// Run serves until the context ends and then shuts down gracefully: it announces
+// that it is draining, rejects new requests and waits for open ones.
 func (node *Node) Run(ctx context.Context, callers, operators http.Handler) error {
 	callerServer, err := node.listen(node.settings.CallerAddress, callers)
 	if err != nil {
@@ -160,28 +162,28 @@
 	if err != nil {
 		return err
 	}
-	// Peers are served, and gossip goes on, until the last request has ended.
+	// Peers are served and gossip continues until the last request has ended.
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
-	go peer.Serve(running, node.peers, node.creds, node.handle)
+	go peer.Serve(running, node.peers, node.credentials, node.handle)
 	go node.gossip.run(running)
-	go node.perform(running)
-	go node.join(running)
-	go node.watchWhileRanked(running)
-	if !node.unwatched {
+	go node.runTasks(running)
+	go node.syncPeriodically(running)
+	go node.watchWhileSelected(running)
+	if !node.observersDisabled {
 		go node.observeOwned(running)
 	}
 	go node.recoverClaims(running)
 	go node.issueOrders(running)
-	go node.resizePlaces(running)
+	go node.resizeSlotPools(running)
 	node.log.Info().Str("callers", node.settings.CallerAddress).Str("peers", node.settings.PeerAddress).Msg("node started")
 	<-ctx.Done()
 	node.drain(callerServer)
-	node.gossip.do((*membership.Machine).Leave)
+	node.gossip.apply((*membership.Machine).Leave)
 	_ = operatorServer.Close()
 	_ = callerServer.Close()
-	// Closed here and not by the context, so that the addresses are free when Run
-	// returns: a node that starts again binds them at once.
+	// The sockets are closed here rather than on cancellation, so that the addresses
+	// are free when Run returns: a restarted node binds them immediately.
 	stop()
 	_ = node.peers.Close()
 	node.gossip.datagrams.Close()
@@ -199,8 +201,8 @@
 	return server, nil
 }
 
-// perform runs tasks that membership changes call for, off the gossip's path.
-func (node *Node) perform(ctx context.Context) {
+// runTasks runs the tasks that membership changes enqueue, outside the gossip loop.
+func (node *Node) runTasks(ctx context.Context) {
 	for {
 		select {
 		case task := <-node.tasks:
@@ -215,41 +217,42 @@
 	select {
 	case node.tasks <- task:
 	default:
-		// The periodic synchronization makes up for a dropped task.
+		// The periodic synchronization compensates for a dropped task.
 	}
 }
 
 func (node *Node) memberChanged(change membership.Change) {
 	switch {
 	case change.Resumed:
-		node.resumed()
-	case change.Revision > node.catalog.revision():
+		node.recoverFromPause()
+	case change.Revision > node.activeConfig.revision():
 		node.enqueue(func(ctx context.Context) {
-			if change.Revision > node.catalog.revision() {
-				node.fetch(ctx, change.From)
+			if change.Revision > node.activeConfig.revision() {
+				node.fetchConfiguration(ctx, change.From)
 			}
 		})
 	case change.Item != nil:
-		node.takeItems([]membership.Item{*change.Item})
+		node.mergeItems([]membership.Item{*change.Item})
 	case change.Member != nil:
 		node.log.Info().Str("member", change.Member.Address).Stringer("status", change.Member.Status).
 			Bool("draining", change.Member.Draining).Msg("member changed")
 	}
 }
 
-// resumed follows a pause of this process. What it owned may be another's now.
-func (node *Node) resumed() {
+// recoverFromPause discards state after a pause of this process, since other nodes
+// may have taken over what it owned.
+func (node *Node) recoverFromPause() {
 	node.log.Warn().Msg("this process was paused; it starts over as a member")
 	node.lifecycle.suspend()
 	node.claims.restart(boottime.Now())
-	node.home.reset()
+	node.indexPartition.reset()
 	go func() {
 		node.synchronize(context.Background())
 		node.lifecycle.resume()
 	}()
 }
 
-func (node *Node) takeItems(items []membership.Item) {
+func (node *Node) mergeItems(items []membership.Item) {
 	for _, item := range items {
 		if record, ok := decodeRecord(item); ok {
 			node.table.Merge(record)
@@ -257,19 +260,19 @@
 	}
 }
 
-// handle answers a peer's call.
+// handle handles a peer's call.
 func (node *Node) handle(_ context.Context, request any) (any, error) {
 	switch request := request.(type) {
 	case wire.SyncRequest:
 		node.gossip.merge([]membership.Member{request.Self}, nil)
-		if _, digest := node.gossip.view(); digest == request.Digest {
-			return wire.SyncAnswer{Same: true, Revision: node.catalog.revision()}, nil
+		if _, digest := node.gossip.selfAndDigest(); digest == request.Digest {
+			return wire.SyncResponse{Same: true, Revision: node.activeConfig.revision()}, nil
 		}
-		members, items := node.gossip.all()
-		return wire.SyncAnswer{Members: members, Items: items, Revision: node.catalog.revision()}, nil
+		members, items := node.gossip.membersAndItems()
+		return wire.SyncResponse{Members: members, Items: items, Revision: node.activeConfig.revision()}, nil
 	case wire.ConfigurationRequest:
 		return node.serveConfiguration(request), nil
-	case wire.IndexUpdate:
+	case wire.IndexUpdateRequest:
 		return node.applyUpdate(request), nil
 	case wire.LookupRequest:
 		return node.serveLookup(request), nil
@@ -277,11 +280,11 @@
 		return node.claims.answer(request), nil
 	case wire.ConcludeRequest:
 		node.claims.conclude(request)
-		return wire.ConcludeAnswer{}, nil
-	case wire.ClaimsRequest:
-		return node.claims.records(request), nil
-	case wire.TakeRequest:
-		return node.serveTake(request), nil
+		return wire.ConcludeResponse{}, nil
+	case wire.ClaimListRequest:
+		return node.claims.handleRecords(request), nil
+	case wire.TokenRequest:
+		return node.serveTokenRequest(request), nil
 	default:
 		return nil, errors.Errorf("unknown request %T; run the same version on all nodes", request)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,9 +11,8 @@
 	"github.com/cloverrail/cloverrail/internal/retry"
 )
 
-// peerHealth rests peers that do not answer, so that a request does not wait for
-// the time-out of every home that died with its zone until membership has found
-// out.
+// peerHealth holds a circuit breaker per peer, so that requests do not wait for the
+// timeout of each peer of a failed zone until membership detects the failure.
 type peerHealth struct {
 	mutex    sync.Mutex
 	breakers map[string]*retry.Breaker
@@ -35,7 +34,7 @@
 	return true
 }
 
-func (health *peerHealth) note(address string, failed bool, now time.Time) {
+func (health *peerHealth) record(address string, failed bool, now time.Time) {
 	health.mutex.Lock()
 	defer health.mutex.Unlock()
 	if !failed {
@@ -50,12 +49,12 @@
 	breaker.Failed(peerBreaker, now)
 }
 
-// peerBreaker rests a peer after two calls in a row without an answer.
+// peerBreaker opens after two consecutive failed calls.
 var peerBreaker = retry.BreakerConfig{Failures: 2, OpenDuration: 300 * time.Millisecond, MaxOpenDuration: 3 * time.Second}
 
-// call sends a request to a peer and checks the type of its answer. A peer that
-// lately did not answer fails at once.
-func call[Answer any](ctx context.Context, node *Node, address string, request any) (Answer, error) {
+// callPeer sends a request to a peer and checks the type of the response. It fails
+// immediately while the peer's circuit breaker is open.
+func callPeer[Answer any](ctx context.Context, node *Node, address string, request any) (Answer, error) {
 	var none Answer
 	if !node.peerHealth.allows(address, boottime.Now()) {
 		return none, errors.Errorf("%s did not answer lately", address)
@@ -63,13 +62,13 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	received, err := node.caller.Call(ctx, address, request)
-	node.peerHealth.note(address, err != nil, boottime.Now())
+	node.peerHealth.record(address, err != nil, boottime.Now())
 	if err != nil {
 		return none, err
 	}
-	answer, ok := received.(Answer)
+	response, ok := received.(Answer)
 	if !ok {
 		return none, errors.Errorf("unexpected answer %T from %s; run the same version on all nodes", received, address)
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/node/publish.go
+++ b/internal/node/publish.go
@@ -12,21 +12,20 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// publish sends a change to the nodes that keep it, each its own part. When the
-// fleet has changed, so has the part of many nodes: they get all of theirs again,
-// a few at a time.
+// publish sends each node its part of a change. After a change of the fleet, the
+// parts of many nodes differ, so all nodes get a full update, a few per round.
 func (observer *observer) publish(ctx context.Context, change eventreader.Change, load engineapi.Load) {
 	addresses := observer.node.gossip.addresses()
-	observer.noteFleet(addresses)
-	replicated := observer.node.replicated(len(addresses))
-	parts := split(change, addresses, replicated)
-	if renewed := observer.takeRenewals(); len(renewed) > 0 {
-		whole := split(observer.reader.All(), addresses, replicated)
-		for _, address := range renewed {
-			parts[address] = whole[address].Cleared()
+	observer.trackNodes(addresses)
+	replicated := observer.node.indexReplicated(len(addresses))
+	parts := splitByOwner(change, addresses, replicated)
+	if fullUpdates := observer.takePendingFullUpdates(); len(fullUpdates) > 0 {
+		full := splitByOwner(observer.reader.FullState(), addresses, replicated)
+		for _, address := range fullUpdates {
+			parts[address] = full[address].WithClear()
 		}
 	}
-	updates := map[string]wire.IndexUpdate{}
+	updates := map[string]wire.IndexUpdateRequest{}
 	for address, part := range parts {
 		observer.sequences[address]++
 		updates[address] = observer.update(address, part, load)
@@ -37,57 +36,58 @@
 	var done sync.WaitGroup
 	for address, update := range updates {
 		done.Go(func() {
-			if answer, err := observer.send(ctx, address, update); err == nil && answer.NeedAll {
-				// The receiver missed something, or has just started.
+			if response, err := observer.send(ctx, address, update); err == nil && response.NeedAll {
+				// The receiver missed an update or has just started.
 				mutex.Lock()
 				defer mutex.Unlock()
-				observer.renew[address] = true
+				observer.pendingFullUpdates[address] = true
 			}
 		})
 	}
 	done.Wait()
 }
 
-// noteFleet marks all nodes for renewal when the fleet is another than before.
-func (observer *observer) noteFleet(addresses []string) {
-	if slices.Equal(addresses, observer.fleet) {
+// trackNodes schedules a full update for all nodes if the fleet has changed.
+func (observer *observer) trackNodes(addresses []string) {
+	if slices.Equal(addresses, observer.nodes) {
 		return
 	}
-	observer.fleet = addresses
-	observer.renew = map[string]bool{}
+	observer.nodes = addresses
+	observer.pendingFullUpdates = map[string]bool{}
 	for _, address := range addresses {
-		observer.renew[address] = true
+		observer.pendingFullUpdates[address] = true
 	}
 }
 
-// takeRenewals picks the nodes that get all of their part with this update.
-func (observer *observer) takeRenewals() []string {
+// takePendingFullUpdates removes and returns the nodes that get a full update in this
+// round.
+func (observer *observer) takePendingFullUpdates() []string {
 	picked := []string{}
-	for address := range observer.renew {
-		if len(picked) == renewalsAtOnce {
+	for address := range observer.pendingFullUpdates {
+		if len(picked) == maxFullUpdatesPerRound {
 			break
 		}
 		picked = append(picked, address)
-		delete(observer.renew, address)
+		delete(observer.pendingFullUpdates, address)
 	}
 	return picked
 }
 
-func (observer *observer) update(address string, part eventreader.Change, load engineapi.Load) wire.IndexUpdate {
-	return wire.IndexUpdate{Reader: observer.node.settings.PeerAddress, Sequence: observer.sequences[address], Update: part.Update(observer.reader.Holder()), Load: load}
+func (observer *observer) update(address string, part eventreader.Change, load engineapi.Load) wire.IndexUpdateRequest {
+	return wire.IndexUpdateRequest{Reader: observer.node.settings.PeerAddress, Sequence: observer.sequences[address], Update: part.Update(observer.reader.Holder()), Load: load}
 }
 
-func (observer *observer) send(ctx context.Context, address string, update wire.IndexUpdate) (wire.IndexAnswer, error) {
+func (observer *observer) send(ctx context.Context, address string, update wire.IndexUpdateRequest) (wire.IndexUpdateResponse, error) {
 	if address == observer.node.settings.PeerAddress {
 		return observer.node.applyUpdate(update), nil
 	}
-	return call[wire.IndexAnswer](ctx, observer.node, address, update)
+	return callPeer[wire.IndexUpdateResponse](ctx, observer.node, address, update)
 }
 
-// split deals a change out to the nodes that keep it. In a small fleet each
-// node gets all of it, and a load report even when nothing changed; in a large
-// one each chain's anchors go to its home.
-func split(change eventreader.Change, addresses []string, replicated bool) map[string]eventreader.Change {
+// splitByOwner splits a change by receiving node. In a small fleet each node gets the
+// whole change, and a load report even if nothing changed; in a large one the anchors
+// of each chain go to the node that owns its partition.
+func splitByOwner(change eventreader.Change, addresses []string, replicated bool) map[string]eventreader.Change {
 	parts := map[string]eventreader.Change{}
 	if replicated {
 		for _, address := range addresses {
@@ -100,12 +100,12 @@
 			parts[address] = eventreader.Change{Clear: true}
 		}
 	}
-	for address, anchors := range deal(change.Stored, addresses) {
+	for address, anchors := range anchorsByOwner(change.Stored, addresses) {
 		part := parts[address]
 		part.Stored = anchors
 		parts[address] = part
 	}
-	for address, anchors := range deal(change.Evicted, addresses) {
+	for address, anchors := range anchorsByOwner(change.Evicted, addresses) {
 		part := parts[address]
 		part.Evicted = anchors
 		parts[address] = part
@@ -113,14 +113,14 @@
 	return parts
 }
 
-// deal gives each chain's anchors to its home.
-func deal(blocks []eventreader.Placed, addresses []string) map[string][]eventreader.Placed {
-	dealt := map[string][]eventreader.Placed{}
+// anchorsByOwner groups the anchors of each chain by the node that owns them.
+func anchorsByOwner(blocks []eventreader.PositionedBlock, addresses []string) map[string][]eventreader.PositionedBlock {
+	byOwner := map[string][]eventreader.PositionedBlock{}
 	for _, item := range blocks {
 		if prefixindex.IsAnchor(item.Depth) {
 			owner := prefix.Owner(item.Root, addresses)
-			dealt[owner] = append(dealt[owner], item)
+			byOwner[owner] = append(byOwner[owner], item)
 		}
 	}
-	return dealt
+	return byOwner
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -19,22 +19,22 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Snapshot returns the configuration in force, or nil.
-func (node *Node) Snapshot() *configuration.Snapshot { return node.catalog.snapshot.Load() }
+// Snapshot returns the active configuration, or nil.
+func (node *Node) Snapshot() *configuration.Snapshot { return node.activeConfig.snapshot.Load() }
 
 // Metrics returns the node's metrics.
 func (node *Node) Metrics() *metrics.Set { return node.metrics }
 
-// Registry returns the registry behind /metrics.
+// Registry returns the Prometheus registry served at /metrics.
 func (node *Node) Registry() *prometheus.Registry { return node.metrics.Registry }
 
-// MaximumBody is the largest request body accepted, in bytes.
+// MaximumBody returns the maximum size of a request body in bytes.
 func (node *Node) MaximumBody() int64 { return node.settings.MaximumBody }
 
-// Enter admits a request to the node. Without a configuration, or after a pause
-// that the node has not yet made up for, it refuses rather than serve by rules
-// that may be out of force.
-func (node *Node) Enter() (*configuration.Snapshot, func(), error) {
+// BeginRequest admits a request to the node. It rejects requests while there is no
+// configuration, or after a pause until the node has caught up, since its
+// configuration may be outdated.
+func (node *Node) BeginRequest() (*configuration.Snapshot, func(), error) {
 	snapshot := node.Snapshot()
 	if snapshot == nil {
 		return nil, nil, failure.New(failure.KindNotConfigured, "this node has no configuration yet",
@@ -43,23 +43,23 @@
 	if node.gossip.paused() {
 		return nil, nil, failure.New(failure.KindUnavailable, "this node was paused and is catching up", "send the request to another node").WithRetryAfter(time.Second)
 	}
-	done, refusal := node.lifecycle.enter()
+	done, refusal := node.lifecycle.begin()
 	if refusal != nil {
 		return nil, nil, refusal
 	}
 	return snapshot, done, nil
 }
 
-// Ready reports whether the node takes new work.
+// Ready reports whether the node accepts new work.
 func (node *Node) Ready() bool {
 	return node.Snapshot() != nil && node.lifecycle.ready() && !node.gossip.paused()
 }
 
-// Draining reports whether the node is about to stop, so that connections should
-// not be kept.
+// Draining reports whether the node is shutting down, so that connections should not
+// be kept alive.
 func (node *Node) Draining() bool { return node.lifecycle.draining() }
 
-// chooser picks servers of a plain service.
+// chooser selects servers of a plain service.
 type chooser struct {
 	node    *Node
 	service string
@@ -76,67 +76,67 @@
 	decision := scheduler.Schedule(&routing.Request{}, candidates)
 	if decision.Index < 0 {
 		return plain.Server{}, failure.New(failure.KindNoEndpoint, "no server can take the request now ("+string(decision.LastRejection)+")",
-			"send it again after the time given").WithRetryAfter(noEndpointWait)
+			"send it again after the time given").WithRetryAfter(noEndpointRetryAfter)
 	}
 	chosen := candidates[decision.Index]
 	chooser.node.table.Begin(chosen.Endpoint, 0, now)
 	return plain.Server{Name: chosen.Endpoint, Address: chosen.Address}, nil
 }
 
-// Ended implements plain.Chooser.
-func (chooser *chooser) Ended(server plain.Server, failed bool) {
-	chooser.node.ended(server.Name, failed)
+// ReportResult implements plain.Chooser.
+func (chooser *chooser) ReportResult(server plain.Server, failed bool) {
+	chooser.node.reportResult(server.Name, failed)
 }
 
-// Forward sends a request to a plain service. A request of a route that is not
-// repeatable is claimed first when it carries an idempotency key.
+// Forward sends a request to a plain service. If its route is not repeatable and it
+// has an idempotency key, the key is claimed first.
 func (node *Node) Forward(ctx context.Context, tenant *configuration.Tenant, service *configuration.Service, request plain.Request, idempotencyKey string) (*plain.Answer, error) {
-	choose := &chooser{node: node, service: service.Name, key: prefix.KeyOf(tenant.Name + idempotencyKey + request.Path)}
+	choose := &chooser{node: node, service: service.Name, key: prefix.HashName(tenant.Name + idempotencyKey + request.Path)}
 	budget := retry.All{node.limits.tenant(tenant.Name).budget, node.retries}
 	node.retries.Deposit(boottime.Now())
 	if request.Repeatable || idempotencyKey == "" {
 		return node.forwarder.Forward(ctx, request, choose, budget)
 	}
-	claimed, err := node.Claim(ctx, tenant.Name+"/"+service.Name, idempotencyKey)
+	handle, err := node.Claim(ctx, tenant.Name+"/"+service.Name, idempotencyKey)
 	if err != nil {
 		return nil, err
 	}
 	answer, err := node.forwarder.Forward(ctx, request, choose, budget)
 	switch {
 	case err == nil:
-		claimed.Complete()
+		handle.Complete()
 	case failure.As(err).Outcome == failure.NotRun:
-		claimed.Release()
+		handle.Release()
 	}
 	return answer, err
 }
 
-// Store gives operator commands access to the declaration.
-func (node *Node) Store() *configstore.Store { return node.catalog.store }
+// Store returns the configuration store, for operator commands.
+func (node *Node) Store() *configstore.Store { return node.activeConfig.store }
 
-// Version returns the version in force, or nil.
-func (node *Node) Version() *configstore.Version { return node.catalog.version.Load() }
+// Version returns the active configuration version, or nil.
+func (node *Node) Version() *configstore.Version { return node.activeConfig.version.Load() }
 
-// Adopt puts a version that was just accepted in force here at once.
-func (node *Node) Adopt(version *configstore.Version) { node.catalog.adopt(version) }
+// Activate activates a version that was just accepted, without waiting for a watch.
+func (node *Node) Activate(version *configstore.Version) { node.activeConfig.activate(version) }
 
-// Members lists all known nodes.
+// Members returns all known nodes.
 func (node *Node) Members() []membership.Member {
-	members, _ := node.gossip.all()
+	members, _ := node.gossip.membersAndItems()
 	return members
 }
 
-// Endpoints lists all back ends.
+// Endpoints returns the state of all backends.
 func (node *Node) Endpoints() []endpoint.View { return node.table.Views() }
 
-// IndexBlocks is the number of cached blocks that this node knows of.
-func (node *Node) IndexBlocks() int { return node.home.blocks() }
+// IndexBlocks returns the number of cached blocks in this node's index.
+func (node *Node) IndexBlocks() int { return node.indexPartition.blocks() }
 
-// HotPrefixes lists the prefixes asked for most.
-func (node *Node) HotPrefixes(limit int) []HotPrefix { return node.hot.top(limit) }
+// HotPrefixes returns the most requested prefixes.
+func (node *Node) HotPrefixes(limit int) []HotPrefix { return node.hotPrefixes.top(limit) }
 
-// UsableEngines counts the engines of a pool that this node knows and that take
-// new work.
+// UsableEngines returns the number of engines of a pool with observed state that
+// accept new work.
 func (node *Node) UsableEngines(pool string) int {
 	count := 0
 	for _, candidate := range node.table.Candidates(nil, pool, "", "", boottime.Now()) {
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,38 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/cloverrail/cloverrail/internal/boottime"
+	"github.com/cloverrail/cloverrail/internal/membership"
+)
+
+func (node *Node) drain(server *http.Server) {
+	node.log.Info().Int("open", node.lifecycle.openRequests()).Msg("node drains")
+	node.lifecycle.markUnready()
+	node.gossip.apply((*membership.Machine).Drain)
+	time.Sleep(node.settings.DrainNotice)
+	node.lifecycle.reject()
+	drainCtx, cancel := context.WithTimeout(context.Background(), node.settings.DrainDeadline)
+	defer cancel()
+	node.lifecycle.awaitIdle(drainCtx)
+	if remaining := node.lifecycle.openRequests(); remaining > 0 {
+		node.log.Warn().Int("cut", remaining).Msg("the drain deadline passed with requests open; declare a longer drainDeadline")
+	}
+	node.linger()
+	// Flush responses that are already written.
+	flushCtx, stop := context.WithTimeout(context.Background(), callTimeout)
+	defer stop()
+	_ = server.Shutdown(flushCtx)
+}
+
+// linger keeps rejecting late requests with a response, so that no request is on its
+// way when the sockets close.
+func (node *Node) linger() {
+	time.Sleep(lingerTime)
+	for deadline := boottime.Now().Add(lingerLimit); !node.lifecycle.idleFor(lingerTime) && boottime.Now().Before(deadline); {
+		time.Sleep(lingerPollInterval)
+	}
+}
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -14,17 +14,18 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// commandTries bounds the repetitions of a command that lost a race. Unlike a
-// whole declaration, a command means the same on top of any other change.
-const commandTries = 5
+// maxCommandAttempts bounds the attempts of a command whose write conflicts with
+// another change. Unlike a whole declaration, a command can be reapplied on top of
+// any other change.
+const maxCommandAttempts = 5
 
-// Execute carries out a command: it changes the declaration in the key-value
-// service, and returns the version that put it in force. Parts that the known
-// version has, which may be nil, are not read again.
-func Execute(ctx context.Context, store *configstore.Store, known *configstore.Version, statement *Statement) (*configstore.Version, error) {
-	var lost error
-	for range commandTries {
-		base, err := store.Read(ctx, known)
+// Execute runs a command: it changes the declaration in the key-value service and
+// returns the resulting version. Parts contained in the cached version, which may
+// be nil, are not read again.
+func Execute(ctx context.Context, store *configstore.Store, cached *configstore.Version, statement *Statement) (*configstore.Version, error) {
+	var conflict error
+	for range maxCommandAttempts {
+		base, err := store.Read(ctx, cached)
 		if err != nil {
 			return nil, err
 		}
@@ -35,7 +36,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := change(declaration, statement); err != nil {
+		if err := applyStatement(declaration, statement); err != nil {
 			return nil, err
 		}
 		if err := strictyaml.Validate("(command)", declaration); err != nil {
@@ -45,12 +46,12 @@
 		if err == nil || !failure.Is(err, failure.KindConflict) {
 			return version, err
 		}
-		lost = err
+		conflict = err
 	}
-	return nil, lost
+	return nil, conflict
 }
 
-func change(declaration *configuration.Declaration, statement *Statement) error {
+func applyStatement(declaration *configuration.Declaration, statement *Statement) error {
 	switch {
 	case statement.Drain != nil:
 		return drain(declaration, statement.Drain.Name)
@@ -67,7 +68,7 @@
 
 func drain(declaration *configuration.Declaration, name string) error {
 	if !declaration.HasBackend(name) {
-		return unknown("back end", name, "show engines")
+		return notFound("back end", name, "show engines")
 	}
 	for _, drained := range declaration.Draining {
 		if drained == name {
@@ -79,20 +80,20 @@
 }
 
 func readmit(declaration *configuration.Declaration, name string) error {
-	kept := []string{}
+	remaining := []string{}
 	for _, drained := range declaration.Draining {
 		if drained != name {
-			kept = append(kept, drained)
+			remaining = append(remaining, drained)
 		}
 	}
-	if len(kept) == len(declaration.Draining) {
+	if len(remaining) == len(declaration.Draining) {
 		return failure.New(failure.KindNotFound, name+" is not draining by command", "see `show engines where state = draining`")
 	}
-	declaration.Draining = kept
+	declaration.Draining = remaining
 	return nil
 }
 
-func unknown(kind, name, query string) error {
+func notFound(kind, name, query string) error {
 	return failure.New(failure.KindNotFound, "no "+kind+" is named "+strconv.Quote(name), "see `"+query+"`")
 }
 
@@ -120,7 +121,7 @@
 		}
 		return nil
 	}
-	return unknown("tenant", set.Name, "show tenants")
+	return notFound("tenant", set.Name, "show tenants")
 }
 
 func setModel(declaration *configuration.Declaration, set *Set) error {
@@ -133,12 +134,12 @@
 			return nil
 		}
 	}
-	return unknown("model", set.Name, "show models")
+	return notFound("model", set.Name, "show models")
 }
 
-// decode reads a JSON message, naming the remedy when it cannot.
-func decode(data []byte, into any) error {
-	if err := json.Unmarshal(data, into); err != nil {
+// decode parses a JSON message; its error includes a remedy.
+func decode(data []byte, target any) error {
+	if err := json.Unmarshal(data, target); err != nil {
 		return failure.New(failure.KindInvalidRequest, "the message is not valid: "+err.Error(), "use the cloverrail command of the same version")
 	}
 	return nil
--- a/internal/operator/language_test.go
+++ b/internal/operator/language_test.go
@@ -11,7 +11,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func TestStatementsOfTheManual(t *testing.T) {
+func TestParseDocumentedStatements(t *testing.T) {
 	for _, text := range []string{
 		"show engines", "show engines where state = draining", "show prefixes hot limit 10", "show tenants",
 		"show engines where state != ready and zone = espoo-a limit 3", `show tenants where name = "a b"`, "show configuration",
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFaultsNameTheColumn(t *testing.T) {
+func TestParseErrorsNameColumn(t *testing.T) {
 	for text, column := range map[string]string{
 		"show motors":                "column 6",
 		"show engines where = ready": "column 20",
@@ -36,14 +36,14 @@
 	}
 }
 
-func TestNoStatementMakesItPanic(t *testing.T) {
+func TestParseNeverPanics(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		_, _ = Parse(rapid.String().Draw(t, "text"))
 	})
 }
 
-func TestCommandsChangeOnlyWhatTheyName(t *testing.T) {
-	declared := &configuration.Declaration{
+func TestCommandsChangeOnlyNamedObjects(t *testing.T) {
+	declaration := &configuration.Declaration{
 		Models:  []configuration.Model{{Name: "m", Version: "1"}},
 		Pools:   []configuration.Pool{{Name: "p", Engines: []configuration.Backend{{Name: "e1"}, {Name: "e2"}}}},
 		Tenants: []configuration.Tenant{{Name: "a", Priority: 1, Weight: 1}, {Name: "b", Priority: 2, Weight: 1}},
@@ -51,16 +51,16 @@
 	run := func(text string) error {
 		statement, err := Parse(text)
 		require.NoError(t, err)
-		return change(declared, statement)
+		return applyStatement(declaration, statement)
 	}
 	require.NoError(t, run("set tenant a priority 5"))
-	require.Equal(t, 5, declared.Tenants[0].Priority)
-	require.Equal(t, 2, declared.Tenants[1].Priority)
+	require.Equal(t, 5, declaration.Tenants[0].Priority)
+	require.Equal(t, 2, declaration.Tenants[1].Priority)
 	require.NoError(t, run("drain engine e1"))
 	require.NoError(t, run("drain engine e1"), "a repeated command does no harm")
-	require.Equal(t, []string{"e1"}, declared.Draining)
+	require.Equal(t, []string{"e1"}, declaration.Draining)
 	require.NoError(t, run("readmit engine e1"))
-	require.Empty(t, declared.Draining)
+	require.Empty(t, declaration.Draining)
 	require.Error(t, run("readmit engine e1"))
 	require.ErrorContains(t, run("drain engine e9"), "show engines")
 	require.ErrorContains(t, run("set tenant a version 3"), "priority, weight, rate or class")
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -13,13 +13,13 @@
 	"github.com/cloverrail/cloverrail/internal/node"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// View is what queries read.
+// View provides the data that queries read.
 type View interface {
 	Snapshot() *configuration.Snapshot
 	Endpoints() []endpoint.View
@@ -29,13 +29,13 @@
 
 const defaultHotLimit = 20
 
-// Query answers a show statement.
+// Query executes a show statement.
 func Query(view View, show *Show) (*Table, error) {
 	snapshot := view.Snapshot()
 	if snapshot == nil {
 		return nil, failure.New(failure.KindNotConfigured, "nothing is declared yet", "apply a declaration first")
 	}
-	table := tableOf(view, snapshot, show)
+	table := buildTable(view, snapshot, show)
 	if err := table.filter(show.Conditions); err != nil {
 		return nil, err
 	}
@@ -46,35 +46,35 @@
 	return table, nil
 }
 
-func tableOf(view View, snapshot *configuration.Snapshot, show *Show) *Table {
-	declared := snapshot.Declaration
+func buildTable(view View, snapshot *configuration.Snapshot, show *Show) *Table {
+	declaration := snapshot.Declaration
 	switch show.Subject {
 	case "engines":
-		return engines(view.Endpoints())
+		return engineTable(view.Endpoints())
 	case "nodes":
-		return nodes(view.Members())
+		return nodeTable(view.Members())
 	case "tenants":
 		table := &Table{Columns: []string{"name", "class", "priority", "weight", "rate", "pools"}}
-		for _, tenant := range declared.Tenants {
-			table.add(tenant.Name, tenant.Class, tenant.Priority, tenant.Weight, tenant.Limits.RequestsPerSecond, strings.Join(tenant.Pools, " "))
+		for _, tenant := range declaration.Tenants {
+			table.addRow(tenant.Name, tenant.Class, tenant.Priority, tenant.Weight, tenant.Limits.RequestsPerSecond, strings.Join(tenant.Pools, " "))
 		}
 		return table
 	case "models":
 		table := &Table{Columns: []string{"name", "version", "adapters"}}
-		for _, model := range declared.Models {
-			table.add(model.Name, model.Version, strings.Join(model.Adapters, " "))
+		for _, model := range declaration.Models {
+			table.addRow(model.Name, model.Version, strings.Join(model.Adapters, " "))
 		}
 		return table
 	case "pools":
 		table := &Table{Columns: []string{"name", "engines", "models"}}
-		for _, pool := range declared.Pools {
-			table.add(pool.Name, len(pool.Engines), strings.Join(pool.Models, " "))
+		for _, pool := range declaration.Pools {
+			table.addRow(pool.Name, len(pool.Engines), strings.Join(pool.Models, " "))
 		}
 		return table
 	case "services":
 		table := &Table{Columns: []string{"name", "servers", "routes"}}
-		for _, service := range declared.Services {
-			table.add(service.Name, len(service.Servers), len(service.Routes))
+		for _, service := range declaration.Services {
+			table.addRow(service.Name, len(service.Servers), len(service.Routes))
 		}
 		return table
 	case "prefixes":
@@ -84,17 +84,17 @@
 		}
 		table := &Table{Columns: []string{"prefix", "tenant", "model", "requests"}}
 		for _, prefix := range view.HotPrefixes(limit) {
-			table.add(prefix.Prefix, prefix.Tenant, prefix.Model, fmt.Sprintf("%.1f", prefix.Requests))
+			table.addRow(prefix.Prefix, prefix.Tenant, prefix.Model, fmt.Sprintf("%.1f", prefix.Requests))
 		}
 		return table
 	default:
 		table := &Table{Columns: []string{"revision", "change", "fleet"}}
-		table.add(snapshot.Revision, snapshot.ChangeID, declared.Fleet)
+		table.addRow(snapshot.Revision, snapshot.ChangeID, declaration.Fleet)
 		return table
 	}
 }
 
-func engines(views []endpoint.View) *Table {
+func engineTable(views []endpoint.View) *Table {
 	table := &Table{Columns: []string{"name", "zone", "state", "running", "waiting", "in_flight", "weights"}}
 	for _, view := range views {
 		weights := []string{}
@@ -102,7 +102,7 @@
 			weights = append(weights, model+"@"+version)
 		}
 		sort.Strings(weights)
-		table.add(view.Backend.Name, view.Backend.Zone, stateOf(view), view.Load.Running, view.Load.Waiting, view.InFlight, strings.Join(weights, " "))
+		table.addRow(view.Backend.Name, view.Backend.Zone, stateOf(view), view.Load.Running, view.Load.Waiting, view.InFlight, strings.Join(weights, " "))
 	}
 	return table
 }
@@ -122,15 +122,15 @@
 	}
 }
 
-func nodes(members []membership.Member) *Table {
+func nodeTable(members []membership.Member) *Table {
 	table := &Table{Columns: []string{"address", "zone", "status", "draining"}}
 	for _, member := range members {
-		table.add(member.Address, member.Zone, member.Status, member.Draining)
+		table.addRow(member.Address, member.Zone, member.Status, member.Draining)
 	}
 	return table
 }
 
-func (table *Table) add(values ...any) {
+func (table *Table) addRow(values ...any) {
 	row := make([]string, len(values))
 	for index, value := range values {
 		row[index] = fmt.Sprint(value)
@@ -150,19 +150,19 @@
 			return failure.New(failure.KindInvalidRequest, "no column is named "+strconv.Quote(condition.Column),
 				"use one of: "+strings.Join(table.Columns, ", "))
 		}
-		kept := [][]string{}
+		matching := [][]string{}
 		for _, row := range table.Rows {
-			if compare(row[column], condition.Operator, condition.Value) {
-				kept = append(kept, row)
+			if matches(row[column], condition.Operator, condition.Value) {
+				matching = append(matching, row)
 			}
 		}
-		table.Rows = kept
+		table.Rows = matching
 	}
 	return nil
 }
 
-// compare orders numbers as numbers and everything else as text.
-func compare(left, operator, right string) bool {
+// matches compares two numbers numerically and all other values as strings.
+func matches(left, operator, right string) bool {
 	order := strings.Compare(left, right)
 	first, firstError := strconv.ParseFloat(left, 64)
 	second, secondError := strconv.ParseFloat(right, 64)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -21,10 +21,11 @@
 )
 
 const (
-	maximumMessage = 64 << 20
-	callTimeout    = 20 * time.Second
-	// freeAfter is when the memory of a call is given back.
-	freeAfter = time.Second
+	maxRequestBytes = 64 << 20
+	callTimeout     = 20 * time.Second
+	// memoryReleaseDelay is the delay after which the memory of a call is returned
+	// to the operating system.
+	memoryReleaseDelay = time.Second
 )
 
 // QueryRequest carries one statement.
@@ -34,40 +35,40 @@
 
 // ApplyRequest carries a whole declaration.
 type ApplyRequest struct {
-	// ChangeID is chosen by the operator's command, so that a lost answer can be
-	// settled.
+	// ChangeID is chosen by the operator's command, so that the outcome can be
+	// queried if the response is lost.
 	ChangeID string `json:"changeID"`
-	// File is the declaration's name, for messages.
+	// File is the name of the declaration's file, for messages.
 	File string `json:"file"`
-	// Declaration was read and checked by the operator's command; it is checked
-	// again here. Reading a file of 31,000 tenants takes some 800 MB for a moment,
-	// which a node does not have.
+	// Declaration was parsed and checked by the operator's command and is checked
+	// again here. It is not parsed on the node, since parsing a file of 31,000
+	// tenants temporarily takes about 800 MB, more than a node has.
 	Declaration *configuration.Declaration `json:"declaration"`
-	// BaseRevision is the revision that the operator's plan was made against; 0
-	// takes the one in force.
+	// BaseRevision is the revision that the operator's plan was based on; 0 stands
+	// for the current one.
 	BaseRevision int64 `json:"baseRevision"`
 }
 
-// SettleRequest asks what became of a change.
+// SettleRequest queries the outcome of a change.
 type SettleRequest struct {
 	ChangeID string `json:"changeID"`
 }
 
-// ChangeAnswer tells of an accepted change.
-type ChangeAnswer struct {
+// ChangeResponse reports whether a change was accepted.
+type ChangeResponse struct {
 	Accepted bool   `json:"accepted"`
 	Revision int64  `json:"revision"`
 	ChangeID string `json:"changeID"`
 }
 
-// PlanAnswer lists what a declaration would change.
-type PlanAnswer struct {
-	Revision    int64             `json:"revision"`
-	Differences []difference.Line `json:"differences"`
+// PlanResponse lists the changes that a declaration would make.
+type PlanResponse struct {
+	Revision    int64                   `json:"revision"`
+	Differences []difference.Difference `json:"differences"`
 }
 
-// StatusAnswer is a node's account of itself.
-type StatusAnswer struct {
+// StatusResponse is the status of a node.
+type StatusResponse struct {
 	Ready       bool   `json:"ready"`
 	Revision    int64  `json:"revision"`
 	ChangeID    string `json:"changeID"`
@@ -75,29 +76,29 @@
 	IndexBlocks int    `json:"indexBlocks"`
 }
 
-// ErrorAnswer carries a failure.
-type ErrorAnswer struct {
+// ErrorResponse carries a failure.
+type ErrorResponse struct {
 	Kind    failure.Kind    `json:"kind"`
 	Outcome failure.Outcome `json:"outcome"`
 	Problem string          `json:"problem"`
 	Remedy  string          `json:"remedy"`
 }
 
-// Server is the operators' HTTP interface of one node.
+// Server serves the operators' HTTP interface of one node.
 type Server struct {
 	node      *node.Node
 	bootstrap string
 	mux       *http.ServeMux
 }
 
-// NewServer returns the interface. Bootstrap is the digest of a key that works
-// before any operator is declared; empty means none.
-func NewServer(served *node.Node, bootstrap string) *Server {
-	server := &Server{node: served, bootstrap: bootstrap, mux: http.NewServeMux()}
-	server.mux.Handle("GET /metrics", promhttp.HandlerFor(served.Registry(), promhttp.HandlerOpts{}))
+// NewServer returns the server of a node. Bootstrap is the digest of a key that is
+// accepted even before any operator is declared; empty means none.
+func NewServer(n *node.Node, bootstrap string) *Server {
+	server := &Server{node: n, bootstrap: bootstrap, mux: http.NewServeMux()}
+	server.mux.Handle("GET /metrics", promhttp.HandlerFor(n.Registry(), promhttp.HandlerOpts{}))
 	server.mux.HandleFunc("GET /healthz", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "ok\n") })
 	server.mux.HandleFunc("GET /readyz", func(writer http.ResponseWriter, _ *http.Request) {
-		if !served.Ready() {
+		if !n.Ready() {
 			http.Error(writer, "not ready", http.StatusServiceUnavailable)
 		}
 	})
@@ -109,7 +110,7 @@
 	return server
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
@@ -118,32 +119,33 @@
 	server.mux.HandleFunc(pattern, func(writer http.ResponseWriter, request *http.Request) {
 		ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 		defer cancel()
-		answer, err := server.serve(ctx, writer, request, serve)
+		response, err := server.serve(ctx, writer, request, serve)
 		writer.Header().Set("Content-Type", "application/json")
 		if err != nil {
-			refusal := describe(err)
+			refusal := toFailure(err)
 			writer.WriteHeader(statusOf(refusal.Kind))
-			_ = json.NewEncoder(writer).Encode(ErrorAnswer{Kind: refusal.Kind, Outcome: refusal.Outcome, Problem: refusal.Problem, Remedy: refusal.Remedy})
+			_ = json.NewEncoder(writer).Encode(ErrorResponse{Kind: refusal.Kind, Outcome: refusal.Outcome, Problem: refusal.Problem, Remedy: refusal.Remedy})
 			return
 		}
-		_ = json.NewEncoder(writer).Encode(answer)
+		_ = json.NewEncoder(writer).Encode(response)
 	})
 }
 
 func (server *Server) serve(ctx context.Context, writer http.ResponseWriter, request *http.Request, serve func(context.Context, []byte) (any, error)) (any, error) {
 	key, _ := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-	if !server.allowed(key) {
+	if !server.isOperatorKey(key) {
 		return nil, failure.New(failure.KindUnauthorized, "the operator key is missing or wrong", "set --key or CLOVERRAIL_OPERATOR_KEY")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maximumMessage))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxRequestBytes))
 	if err != nil {
 		return nil, failure.New(failure.KindTooLarge, "the message is too long", "split the declaration over fleets")
 	}
 	return serve(ctx, body)
 }
 
-// allowed knows operators only; the keys of tenants do not open this interface.
-func (server *Server) allowed(key string) bool {
+// isOperatorKey reports whether the key belongs to an operator. Tenant keys are not
+// accepted.
+func (server *Server) isOperatorKey(key string) bool {
 	if server.bootstrap != "" && configuration.Digest(key) == server.bootstrap {
 		return true
 	}
@@ -155,8 +157,8 @@
 	return found
 }
 
-func describe(err error) *failure.Failure {
-	var faults strictyaml.Faults
+func toFailure(err error) *failure.Failure {
+	var faults strictyaml.Diagnostics
 	if errors.As(err, &faults) {
 		return failure.New(failure.KindInvalidRequest, faults.Error(), "mend the declaration and run `cloverrail check`")
 	}
@@ -190,22 +192,22 @@
 	if statement.Show != nil {
 		return Query(server.node, statement.Show)
 	}
-	// A change of one tenant marshals all of them.
-	defer time.AfterFunc(freeAfter, debug.FreeOSMemory)
+	// A change of one tenant marshals all tenants.
+	defer time.AfterFunc(memoryReleaseDelay, debug.FreeOSMemory)
 	version, err := Execute(ctx, server.node.Store(), server.node.Version(), statement)
 	if err != nil {
 		return nil, err
 	}
-	server.node.Adopt(version)
-	answer := &Table{Columns: []string{"accepted", "revision", "change"}}
-	answer.add(true, version.Revision, version.Manifest.ChangeID)
-	return answer, nil
+	server.node.Activate(version)
+	response := &Table{Columns: []string{"accepted", "revision", "change"}}
+	response.addRow(true, version.Revision, version.Manifest.ChangeID)
+	return response, nil
 }
 
-// proposal is a declaration that was sent, and the version that it would follow.
+// proposal is a submitted declaration and the version that it would replace.
 type proposal struct {
 	message ApplyRequest
-	// base is nil when nothing was ever applied.
+	// base is nil if no declaration has ever been applied.
 	base *configstore.Version
 }
 
@@ -230,16 +232,16 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := PlanAnswer{}
+	response := PlanResponse{}
 	var current *configuration.Declaration
 	if proposed.base != nil {
-		answer.Revision = proposed.base.Revision
+		response.Revision = proposed.base.Revision
 		if current, err = configstore.Join(proposed.base.Parts); err != nil {
 			return nil, err
 		}
 	}
-	answer.Differences, err = difference.Between(current, proposed.message.Declaration)
-	return answer, err
+	response.Differences, err = difference.Compare(current, proposed.message.Declaration)
+	return response, err
 }
 
 func (server *Server) apply(ctx context.Context, body []byte) (any, error) {
@@ -255,10 +257,10 @@
 	if err != nil {
 		return nil, err
 	}
-	server.node.Adopt(version)
-	// A whole declaration as text and tree is many times its compiled size.
-	time.AfterFunc(freeAfter, debug.FreeOSMemory)
-	return ChangeAnswer{Accepted: true, Revision: version.Revision, ChangeID: proposed.message.ChangeID}, nil
+	server.node.Activate(version)
+	// A declaration's JSON and parsed forms take many times its compiled size.
+	time.AfterFunc(memoryReleaseDelay, debug.FreeOSMemory)
+	return ChangeResponse{Accepted: true, Revision: version.Revision, ChangeID: proposed.message.ChangeID}, nil
 }
 
 func (server *Server) settle(ctx context.Context, body []byte) (any, error) {
@@ -270,13 +272,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return ChangeAnswer{Accepted: accepted, ChangeID: message.ChangeID}, nil
+	return ChangeResponse{Accepted: accepted, ChangeID: message.ChangeID}, nil
 }
 
 func (server *Server) status(context.Context, []byte) (any, error) {
-	answer := StatusAnswer{Ready: server.node.Ready(), Nodes: len(server.node.Members()), IndexBlocks: server.node.IndexBlocks()}
+	response := StatusResponse{Ready: server.node.Ready(), Nodes: len(server.node.Members()), IndexBlocks: server.node.IndexBlocks()}
 	if snapshot := server.node.Snapshot(); snapshot != nil {
-		answer.Revision, answer.ChangeID = snapshot.Revision, snapshot.ChangeID
+		response.Revision, response.ChangeID = snapshot.Revision, snapshot.ChangeID
 	}
-	return answer, nil
+	return response, nil
 }
