--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -1,6 +1,6 @@
-// Package order decides which fenced orders go to engines: which engine loads
-// which version of a model, and when. One node at a time issues orders; it
-// holds a lease in the key-value service, whose revision is the fencing token.
+// Package order decides which fenced orders are sent to engines: which engine
+// loads which version of a model, and when. Only one node at a time issues orders.
+// It holds a lease in the key-value service whose revision is the fencing token.
 //
 // Issuer is a pure state machine.
 package order
@@ -12,45 +12,46 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Engine is an engine as the issuer sees it.
+// Engine is the state of an engine as known to the issuer.
 type Engine struct {
 	Name    string
 	Pool    string
 	Weights map[string]string
-	// Loading says that the engine is busy loading weights.
+	// Loading is set while the engine loads weights.
 	Loading bool
-	// Usable is false for engines that are down or leave.
+	// Usable is false for engines that are down or leaving.
 	Usable bool
 }
 
-// Wanted is what a pool should have loaded.
-type Wanted struct {
+// PoolTarget is the desired state of a pool.
+type PoolTarget struct {
 	Pool string
-	// Versions of each model.
+	// Versions maps each model to the version that should be loaded.
 	Versions map[string]string
-	// LoadsAtOnce bounds the engines that load together.
+	// LoadsAtOnce bounds the engines that load weights concurrently.
 	LoadsAtOnce int
 }
 
-// Send is the action of sending an order to an engine.
+// Send is an order to send to an engine.
 type Send struct {
 	Engine string
 	Order  engineapi.Order
 }
 
 const (
-	// leaseMargin is how long before its lapse a lease is no longer relied on. An
-	// order that is late all the same is refused by the engine for its token.
-	leaseMargin = time.Second
-	// resendAfter is when an order without visible effect is sent again.
-	resendAfter = 10 * time.Second
+	// leaseSafetyMargin is how long before its expiry a lease is no longer relied
+	// on. An engine rejects an order that arrives later still by its fencing token.
+	leaseSafetyMargin = time.Second
+	// resendInterval is how long after an order without visible effect it is sent
+	// again.
+	resendInterval = 10 * time.Second
 )
 
-// Issuer is the state of one node.
+// Issuer holds the issuing state of one node.
 type Issuer struct {
-	token int64
-	until time.Time
-	sent  map[string]sentOrder
+	token      int64
+	leaseUntil time.Time
+	lastSent   map[string]sentOrder
 }
 
 type sentOrder struct {
@@ -59,74 +60,74 @@
 }
 
 // NewIssuer returns an issuer without a lease.
-func NewIssuer() *Issuer { return &Issuer{sent: map[string]sentOrder{}} }
+func NewIssuer() *Issuer { return &Issuer{lastSent: map[string]sentOrder{}} }
 
-// Hold notes a lease and until when it lasts, counted from before the call that
-// granted or renewed it.
-func (issuer *Issuer) Hold(token int64, until time.Time) {
+// SetLease records a lease and its expiry, which must be computed from a time
+// before the call that granted or renewed it.
+func (issuer *Issuer) SetLease(token int64, until time.Time) {
 	if token != issuer.token {
-		issuer.sent = map[string]sentOrder{}
+		issuer.lastSent = map[string]sentOrder{}
 	}
-	issuer.token, issuer.until = token, until
+	issuer.token, issuer.leaseUntil = token, until
 }
 
-// Lose drops the lease.
-func (issuer *Issuer) Lose() { issuer.until = time.Time{} }
+// DropLease discards the lease.
+func (issuer *Issuer) DropLease() { issuer.leaseUntil = time.Time{} }
 
-// Holds reports whether orders may be issued.
-func (issuer *Issuer) Holds(now time.Time) bool {
-	return now.Add(leaseMargin).Before(issuer.until)
+// HoldsLease reports whether orders may be issued.
+func (issuer *Issuer) HoldsLease(now time.Time) bool {
+	return now.Add(leaseSafetyMargin).Before(issuer.leaseUntil)
 }
 
-// Step returns the orders to send now. It counts an engine as loading from the
-// order on, so that a pool's pace holds before the engine's state is seen.
-func (issuer *Issuer) Step(now time.Time, wanted []Wanted, engines []Engine) []Send {
-	if !issuer.Holds(now) {
+// Step returns the orders to send now. An engine counts as loading once an order
+// was sent to it, so that a pool's limit holds before its state is observed.
+func (issuer *Issuer) Step(now time.Time, targets []PoolTarget, engines []Engine) []Send {
+	if !issuer.HoldsLease(now) {
 		return nil
 	}
 	sends := []Send{}
-	for _, pool := range wanted {
-		sends = append(sends, issuer.stepPool(now, pool, engines)...)
+	for _, target := range targets {
+		sends = append(sends, issuer.stepPool(now, target, engines)...)
 	}
 	return sends
 }
 
-func (issuer *Issuer) stepPool(now time.Time, pool Wanted, engines []Engine) []Send {
+func (issuer *Issuer) stepPool(now time.Time, target PoolTarget, engines []Engine) []Send {
 	loading := 0
-	behind := []Engine{}
+	outdated := []Engine{}
 	for _, engine := range engines {
-		if engine.Pool != pool.Pool {
+		if engine.Pool != target.Pool {
 			continue
 		}
-		missing := issuer.missing(pool, engine) != nil
-		recent, ordered := issuer.sent[engine.Name]
-		underWay := ordered && missing && now.Sub(recent.at) < resendAfter
+		needsOrder := issuer.nextOrder(target, engine) != nil
+		last, sentBefore := issuer.lastSent[engine.Name]
+		pending := sentBefore && needsOrder && now.Sub(last.at) < resendInterval
 		switch {
-		case engine.Loading || underWay:
+		case engine.Loading || pending:
 			loading++
-		case missing && engine.Usable:
-			behind = append(behind, engine)
+		case needsOrder && engine.Usable:
+			outdated = append(outdated, engine)
 		}
 	}
-	sort.Slice(behind, func(i, j int) bool { return behind[i].Name < behind[j].Name })
+	sort.Slice(outdated, func(i, j int) bool { return outdated[i].Name < outdated[j].Name })
 	sends := []Send{}
-	for _, engine := range behind[:max(0, min(len(behind), pool.LoadsAtOnce-loading))] {
-		order := *issuer.missing(pool, engine)
-		issuer.sent[engine.Name] = sentOrder{order: order, at: now}
+	for _, engine := range outdated[:max(0, min(len(outdated), target.LoadsAtOnce-loading))] {
+		order := *issuer.nextOrder(target, engine)
+		issuer.lastSent[engine.Name] = sentOrder{order: order, at: now}
 		sends = append(sends, Send{Engine: engine.Name, Order: order})
 	}
 	return sends
 }
 
-// missing returns the order that the engine needs next, or nil.
-func (issuer *Issuer) missing(pool Wanted, engine Engine) *engineapi.Order {
-	models := make([]string, 0, len(pool.Versions))
-	for model := range pool.Versions {
+// nextOrder returns the next order that the engine needs, or nil.
+func (issuer *Issuer) nextOrder(target PoolTarget, engine Engine) *engineapi.Order {
+	models := make([]string, 0, len(target.Versions))
+	for model := range target.Versions {
 		models = append(models, model)
 	}
 	sort.Strings(models)
 	for _, model := range models {
-		if version := pool.Versions[model]; engine.Weights[model] != version {
+		if version := target.Versions[model]; engine.Weights[model] != version {
 			return &engineapi.Order{Token: issuer.token, Model: model, Version: version}
 		}
 	}
--- a/internal/order/issuer_test.go
+++ b/internal/order/issuer_test.go
@@ -12,9 +12,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// fencedEngine is an engine that refuses tokens below the highest it saw. Two
-// issuers take turns with the lease; one may be
-// paused while it holds it and go on when another has it.
+// fencedEngine simulates an engine that rejects tokens below the highest one it
+// has received.
 type fencedEngine struct {
 	state   Engine
 	token   int64
@@ -22,7 +21,7 @@
 	order   engineapi.Order
 }
 
-func (engine *fencedEngine) take(now time.Time, order engineapi.Order) bool {
+func (engine *fencedEngine) accept(now time.Time, order engineapi.Order) bool {
 	if order.Token < engine.token {
 		return false
 	}
@@ -42,10 +41,13 @@
 	}
 }
 
-func TestPacedAndFenced(t *testing.T) {
+// TestLoadsAreBoundedAndStaleTokensRejected alternates the lease between two
+// issuers. One may be paused while it holds the lease and resume after the other
+// has taken over.
+func TestLoadsAreBoundedAndStaleTokensRejected(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
-		pace := rapid.IntRange(1, 4).Draw(t, "pace")
+		maxLoads := rapid.IntRange(1, 4).Draw(t, "pace")
 		version := 1
 		engines := []*fencedEngine{}
 		for index := range rapid.IntRange(1, 12).Draw(t, "engines") {
@@ -53,9 +55,9 @@
 		}
 		issuers := []*Issuer{NewIssuer(), NewIssuer()}
 		holder, token := 0, int64(1)
-		issuers[0].Hold(token, now.Add(5*time.Second))
+		issuers[0].SetLease(token, now.Add(5*time.Second))
 		views := func() []Engine {
-			seen := []Engine{}
+			list := []Engine{}
 			for _, engine := range engines {
 				weights := map[string]string{}
 				for model, loaded := range engine.state.Weights {
@@ -63,33 +65,33 @@
 				}
 				view := engine.state
 				view.Weights = weights
-				seen = append(seen, view)
+				list = append(list, view)
 			}
-			return seen
+			return list
 		}
-		act := func(which int, stale []Send) []Send {
-			wanted := []Wanted{{Pool: "p", Versions: map[string]string{"m": fmt.Sprint("v", version)}, LoadsAtOnce: pace}}
-			sends := append(stale, issuers[which].Step(now, wanted, views())...)
+		step := func(issuerIndex int, stale []Send) []Send {
+			targets := []PoolTarget{{Pool: "p", Versions: map[string]string{"m": fmt.Sprint("v", version)}, LoadsAtOnce: maxLoads}}
+			sends := append(stale, issuers[issuerIndex].Step(now, targets, views())...)
 			return sends
 		}
-		var parked []Send
+		var delayed []Send
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"act", "act", "act", "wait", "pause", "late", "version"}).Draw(t, "step") {
 			case "act":
-				issuers[holder].Hold(token, now.Add(5*time.Second))
-				for _, send := range act(holder, nil) {
+				issuers[holder].SetLease(token, now.Add(5*time.Second))
+				for _, send := range step(holder, nil) {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine {
-							require.True(t, engine.take(now, send.Order), "the holder's orders are taken")
+							require.True(t, engine.accept(now, send.Order), "the holder's orders are taken")
 						}
 					}
 				}
 			case "wait":
 				now = now.Add(time.Duration(rapid.IntRange(50, 800).Draw(t, "milliseconds")) * time.Millisecond)
 			case "pause":
-				// The holder decides, then stands still with its orders unsent while
-				// the other one takes the lease over and acts on every engine.
-				parked = append(parked, act(holder, nil)...)
+				// The holder decides on orders and is paused before it sends them, while
+				// the other issuer takes over the lease and sends to every engine.
+				delayed = append(delayed, step(holder, nil)...)
 				holder, token = 1-holder, token+1
 				now = now.Add(6 * time.Second)
 				for _, engine := range engines {
@@ -97,15 +99,15 @@
 					engine.token = token
 				}
 			case "late":
-				for _, send := range parked {
+				for _, send := range delayed {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine && send.Order.Token < token {
-							require.False(t, engine.take(now, send.Order), "a late order is refused")
+							require.False(t, engine.accept(now, send.Order), "a late order is refused")
 						}
 					}
 				}
-				if len(parked) > 0 {
-					require.Empty(t, act(1-holder, nil), "a lapsed lease is not relied on")
+				if len(delayed) > 0 {
+					require.Empty(t, step(1-holder, nil), "a lapsed lease is not relied on")
 				}
 			case "version":
 				version++
@@ -117,23 +119,23 @@
 					loading++
 				}
 			}
-			require.LessOrEqual(t, loading, pace, "loads stay within the pace")
+			require.LessOrEqual(t, loading, maxLoads, "loads stay within the pace")
 		}
 	})
 }
 
-func TestAllEnginesAreBroughtUpToDate(t *testing.T) {
+func TestAllEnginesReachTargetVersion(t *testing.T) {
 	now := time.Unix(0, 0)
 	issuer := NewIssuer()
 	engines := []Engine{}
 	for index := range 7 {
 		engines = append(engines, Engine{Name: fmt.Sprint(index), Pool: "p", Usable: true, Weights: map[string]string{"m": "v1"}})
 	}
-	wanted := []Wanted{{Pool: "p", Versions: map[string]string{"m": "v2"}, LoadsAtOnce: 3}}
+	targets := []PoolTarget{{Pool: "p", Versions: map[string]string{"m": "v2"}, LoadsAtOnce: 3}}
 	rounds := 0
 	for ; rounds < 10; rounds++ {
-		issuer.Hold(9, now.Add(5*time.Second))
-		sends := issuer.Step(now, wanted, engines)
+		issuer.SetLease(9, now.Add(5*time.Second))
+		sends := issuer.Step(now, targets, engines)
 		if len(sends) == 0 {
 			break
 		}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// For waits for a length of time, or until the context ends.
-func For(ctx context.Context, length time.Duration) {
-	if length <= 0 {
+// For waits for the duration or until the context ends.
+func For(ctx context.Context, duration time.Duration) {
+	if duration <= 0 {
 		return
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAPauseEndsWithItsContext(t *testing.T) {
+func TestForReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		For(t.Context(), -time.Second)
-		require.Equal(t, begun, time.Now())
+		require.Equal(t, start, time.Now())
 		For(t.Context(), time.Second)
-		require.Equal(t, time.Second, time.Since(begun))
+		require.Equal(t, time.Second, time.Since(start))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		For(ctx, time.Hour)
-		require.Equal(t, time.Second+time.Minute, time.Since(begun))
+		require.Equal(t, time.Second+time.Minute, time.Since(start))
 	})
 }
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -13,76 +13,79 @@
 )
 
 const (
-	// maximumMessage bounds one message in bytes.
-	maximumMessage = 16 << 20
+	// maxMessageBytes bounds the size of one message.
+	maxMessageBytes = 16 << 20
 	// DefaultTimeout bounds a call whose context has no deadline.
 	DefaultTimeout = time.Second
 	idleTimeout    = time.Minute
-	idlePerPeer    = 4
+	maxIdlePerPeer = 4
 )
 
-// Handler answers one request. Requests and answers are types that were made
-// known to gob.
+// Handler handles one request. The types of requests and responses must be
+// registered with gob.
 type Handler func(ctx context.Context, request any) (any, error)
 
-// envelope is what travels; Problem is set instead of Body when a call failed.
+// envelope is the encoded message. If a call failed, Problem is set instead of
+// Body.
 type envelope struct {
 	Body    any
 	Problem string
 }
 
-// boundedReader fails once a message is longer than allowed.
+// boundedReader limits the size of one message.
 type boundedReader struct {
-	source io.Reader
-	left   int
+	source    io.Reader
+	remaining int
 }
 
 func (reader *boundedReader) Read(data []byte) (int, error) {
-	if reader.left <= 0 {
-		return 0, errors.Errorf("message longer than %d bytes", maximumMessage)
+	if reader.remaining <= 0 {
+		return 0, errors.Errorf("message longer than %d bytes", maxMessageBytes)
 	}
-	count, err := reader.source.Read(data[:min(len(data), reader.left)])
-	reader.left -= count
+	count, err := reader.source.Read(data[:min(len(data), reader.remaining)])
+	reader.remaining -= count
 	return count, err
 }
 
 type connection struct {
 	net.Conn
-	reader  *boundedReader
-	encoder *gob.Encoder
-	decoder *gob.Decoder
-	used    time.Time
+	reader     *boundedReader
+	encoder    *gob.Encoder
+	decoder    *gob.Decoder
+	lastUsedAt time.Time
 }
 
 func newConnection(socket net.Conn) *connection {
-	reader := &boundedReader{source: socket, left: maximumMessage}
+	reader := &boundedReader{source: socket, remaining: maxMessageBytes}
 	return &connection{Conn: socket, reader: reader, encoder: gob.NewEncoder(socket), decoder: gob.NewDecoder(reader)}
 }
 
 func (connection *connection) receive() (envelope, error) {
-	connection.reader.left = maximumMessage
+	connection.reader.remaining = maxMessageBytes
 	var message envelope
 	err := connection.decoder.Decode(&message)
 	return message, err
 }
 
-// Caller sends requests to other nodes over kept connections.
-type Caller struct {
+// Client sends requests to other nodes over pooled connections.
+type Client struct {
 	credentials *Credentials
 	mutex       sync.Mutex
 	idle        map[string][]*connection
 	blocked     func(address string) bool
 }
 
-// NewCaller returns a caller. Blocked, which may be nil, lets tests cut links.
-func NewCaller(credentials *Credentials, blocked func(address string) bool) *Caller {
-	return &Caller{credentials: credentials, idle: map[string][]*connection{}, blocked: blocked}
+// NewClient returns a client. Tests use blocked, which may be nil, to simulate
+// network partitions.
+func NewClient(credentials *Credentials, blocked func(address string) bool) *Client {
+	return &Client{credentials: credentials, idle: map[string][]*connection{}, blocked: blocked}
 }
 
-// Call sends one request and waits for its answer. An error does not say
-// whether the peer acted: requests must bear repetition.
-func (caller *Caller) Call(ctx context.Context, address string, request any) (any, error) {
-	if caller.blocked != nil && caller.blocked(address) {
+// Call sends one request and waits for the response. It may send the request
+// twice, and after an error the peer may have processed it, so requests must be
+// idempotent.
+func (client *Client) Call(ctx context.Context, address string, request any) (any, error) {
+	if client.blocked != nil && client.blocked(address) {
 		return nil, errors.Errorf("no path to %s", address)
 	}
 	if _, bounded := ctx.Deadline(); !bounded {
@@ -90,30 +93,30 @@
 		ctx, cancel = context.WithTimeout(ctx, DefaultTimeout)
 		defer cancel()
 	}
-	kept := caller.take(address)
-	if kept != nil {
-		if answer, err := exchange(ctx, kept, request); err == nil {
-			return caller.finish(address, kept, answer)
+	pooled := client.takeIdle(address)
+	if pooled != nil {
+		if response, err := roundTrip(ctx, pooled, request); err == nil {
+			return client.releaseConnection(address, pooled, response)
 		}
-		_ = kept.Close()
+		_ = pooled.Close()
 		if ctx.Err() != nil {
 			return nil, errors.Trace(ctx.Err())
 		}
-		// A kept connection may have been closed by the peer meanwhile.
+		// The peer may have closed the idle connection, so retry on a new one.
 	}
-	fresh, err := caller.dial(ctx, address)
+	fresh, err := client.dial(ctx, address)
 	if err != nil {
 		return nil, errors.Annotatef(err, "no connection to %s", address)
 	}
-	answer, err := exchange(ctx, fresh, request)
+	response, err := roundTrip(ctx, fresh, request)
 	if err != nil {
 		_ = fresh.Close()
 		return nil, errors.Annotatef(err, "no answer from %s", address)
 	}
-	return caller.finish(address, fresh, answer)
+	return client.releaseConnection(address, fresh, response)
 }
 
-func exchange(ctx context.Context, connection *connection, request any) (envelope, error) {
+func roundTrip(ctx context.Context, connection *connection, request any) (envelope, error) {
 	deadline, _ := ctx.Deadline()
 	if err := connection.SetDeadline(deadline); err != nil {
 		return envelope{}, err
@@ -126,16 +129,16 @@
 	return connection.receive()
 }
 
-func (caller *Caller) finish(address string, connection *connection, answer envelope) (any, error) {
-	caller.keep(address, connection)
-	if answer.Problem != "" {
-		return nil, errors.New(answer.Problem)
+func (client *Client) releaseConnection(address string, connection *connection, response envelope) (any, error) {
+	client.putIdle(address, connection)
+	if response.Problem != "" {
+		return nil, errors.New(response.Problem)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-func (caller *Caller) dial(ctx context.Context, address string) (*connection, error) {
-	dialer := &tls.Dialer{Config: caller.credentials.config}
+func (client *Client) dial(ctx context.Context, address string) (*connection, error) {
+	dialer := &tls.Dialer{Config: client.credentials.tlsConfig}
 	socket, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -143,15 +146,15 @@
 	return newConnection(socket), nil
 }
 
-func (caller *Caller) take(address string) *connection {
-	caller.mutex.Lock()
-	defer caller.mutex.Unlock()
-	kept := caller.idle[address]
-	for len(kept) > 0 {
-		last := kept[len(kept)-1]
-		kept = kept[:len(kept)-1]
-		caller.idle[address] = kept
-		if time.Since(last.used) < idleTimeout {
+func (client *Client) takeIdle(address string) *connection {
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
+	idle := client.idle[address]
+	for len(idle) > 0 {
+		last := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		client.idle[address] = idle
+		if time.Since(last.lastUsedAt) < idleTimeout {
 			return last
 		}
 		_ = last.Close()
@@ -159,20 +162,20 @@
 	return nil
 }
 
-func (caller *Caller) keep(address string, connection *connection) {
-	caller.mutex.Lock()
-	defer caller.mutex.Unlock()
-	if len(caller.idle[address]) >= idlePerPeer {
+func (client *Client) putIdle(address string, connection *connection) {
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
+	if len(client.idle[address]) >= maxIdlePerPeer {
 		_ = connection.Close()
 		return
 	}
-	connection.used = time.Now()
-	caller.idle[address] = append(caller.idle[address], connection)
+	connection.lastUsedAt = time.Now()
+	client.idle[address] = append(client.idle[address], connection)
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve handles calls on a listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, credentials *Credentials, handler Handler) {
-	secure := tls.NewListener(listener, credentials.config)
+	secure := tls.NewListener(listener, credentials.tlsConfig)
 	context.AfterFunc(ctx, func() { _ = secure.Close() })
 	for {
 		socket, err := secure.Accept()
@@ -197,13 +200,13 @@
 		if err != nil {
 			return
 		}
-		answer := envelope{}
-		answer.Body, err = handler(ctx, request.Body)
+		response := envelope{}
+		response.Body, err = handler(ctx, request.Body)
 		if err != nil {
-			answer = envelope{Problem: err.Error()}
+			response = envelope{Problem: err.Error()}
 		}
 		_ = connection.SetDeadline(time.Now().Add(DefaultTimeout))
-		if connection.encoder.Encode(answer) != nil {
+		if connection.encoder.Encode(response) != nil {
 			return
 		}
 	}
--- a/internal/peer/credentials.go
+++ b/internal/peer/credentials.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between nodes: gob over TLS for calls, and
-// sealed datagrams for gossip. Nodes prove to each other that they hold the
-// fleet's key.
+// Package peer transports messages between nodes: gob over TLS for calls, and
+// encrypted datagrams for gossip. Nodes authenticate each other by the fleet's
+// key.
 package peer
 
 import (
@@ -19,17 +19,17 @@
 )
 
 const (
-	certificateContext = "cloverrail node certificate v1"
-	datagramContext    = "cloverrail datagram v1"
-	certificateLife    = 10 * 365 * 24 * time.Hour
+	certificateContext  = "cloverrail node certificate v1"
+	datagramContext     = "cloverrail datagram v1"
+	certificateLifetime = 10 * 365 * 24 * time.Hour
 )
 
-// Credentials prove membership of the fleet. In this version they derive from
-// one shared key: every node holds the same signing key, made from it.
+// Credentials prove membership of the fleet. They are derived from one shared
+// key, so all nodes have the same signing key.
 type Credentials struct {
-	signer ed25519.PrivateKey
-	config *tls.Config
-	seal   cipher.AEAD
+	signer    ed25519.PrivateKey
+	tlsConfig *tls.Config
+	aead      cipher.AEAD
 }
 
 // NewCredentials derives credentials from the fleet's key.
@@ -39,7 +39,7 @@
 		return nil, errors.Annotate(err, "the fleet key cannot be used; give at least 16 bytes")
 	}
 	credentials := &Credentials{signer: ed25519.NewKeyFromSeed(seed)}
-	if err := credentials.makeTLS(); err != nil {
+	if err := credentials.initTLS(); err != nil {
 		return nil, err
 	}
 	datagramKey, err := hkdf.Key(sha256.New, fleetKey, nil, datagramContext, 32)
@@ -50,33 +50,34 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	credentials.seal, err = cipher.NewGCMWithRandomNonce(block)
+	credentials.aead, err = cipher.NewGCMWithRandomNonce(block)
 	return credentials, errors.Trace(err)
 }
 
-func (credentials *Credentials) makeTLS() error {
+func (credentials *Credentials) initTLS() error {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
 		NotBefore:    time.Now().Add(-time.Hour),
-		NotAfter:     time.Now().Add(certificateLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
 	certificate, err := x509.CreateCertificate(rand.Reader, template, template, credentials.signer.Public(), credentials.signer)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	credentials.config = &tls.Config{
+	credentials.tlsConfig = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{{Certificate: [][]byte{certificate}, PrivateKey: credentials.signer}},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// The name and issuer mean nothing here; VerifyConnection checks the key.
+		// Certificates are self-signed, so name and issuer carry no information;
+		// VerifyConnection checks the public key instead.
 		InsecureSkipVerify: true,
 		VerifyConnection:   credentials.verify,
 	}
 	return nil
 }
 
-// verify accepts exactly the peers that hold the fleet's signing key; TLS has
-// already proved that the peer holds the key of its certificate.
+// verify accepts only peers that hold the fleet's signing key. TLS has already
+// verified that the peer holds the private key of its certificate.
 func (credentials *Credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("the peer showed no certificate")
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -9,35 +9,36 @@
 	"github.com/juju/errors"
 )
 
-// maximumDatagram is the largest datagram sent or read, in bytes.
-const maximumDatagram = 60_000
+// maxDatagramBytes bounds the size of an encoded message before encryption.
+const maxDatagramBytes = 60_000
 
-// Datagrams sends and receives sealed messages of one type over UDP.
-type Datagrams[Message any] struct {
+// DatagramConn sends and receives encrypted messages of one type over UDP.
+type DatagramConn[Message any] struct {
 	socket      *net.UDPConn
 	credentials *Credentials
 	blocked     func(address string) bool
 }
 
-// ListenDatagrams opens the socket. Blocked, which may be nil, lets tests cut links.
-func ListenDatagrams[Message any](address string, credentials *Credentials, blocked func(string) bool) (*Datagrams[Message], error) {
-	place, err := netip.ParseAddrPort(address)
+// ListenDatagrams opens a UDP socket. Tests use blocked, which may be nil, to
+// simulate network partitions.
+func ListenDatagrams[Message any](address string, credentials *Credentials, blocked func(string) bool) (*DatagramConn[Message], error) {
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Annotate(err, "write the peer address as IP number and port")
 	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(place))
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addrPort))
 	if err != nil {
 		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
 	}
-	return &Datagrams[Message]{socket: socket, credentials: credentials, blocked: blocked}, nil
+	return &DatagramConn[Message]{socket: socket, credentials: credentials, blocked: blocked}, nil
 }
 
-// Send seals and sends one message. Loss is normal and not reported.
-func (datagrams *Datagrams[Message]) Send(address string, message Message) error {
+// Send encrypts and sends one message. Lost datagrams are not reported.
+func (datagrams *DatagramConn[Message]) Send(address string, message Message) error {
 	if datagrams.blocked != nil && datagrams.blocked(address) {
 		return nil
 	}
-	place, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -45,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = datagrams.socket.WriteToUDPAddrPort(sealed, place)
+	_, err = datagrams.socket.WriteToUDPAddrPort(sealed, addrPort)
 	return errors.Trace(err)
 }
 
@@ -55,15 +56,15 @@
 	if err := gob.NewEncoder(&plain).Encode(message); err != nil {
 		return nil, errors.Trace(err)
 	}
-	if plain.Len() > maximumDatagram {
+	if plain.Len() > maxDatagramBytes {
 		return nil, errors.Errorf("message of %d bytes does not fit a datagram", plain.Len())
 	}
-	return credentials.seal.Seal(nil, nil, plain.Bytes(), nil), nil
+	return credentials.aead.Seal(nil, nil, plain.Bytes(), nil), nil
 }
 
-// Receive calls handle with every genuine message until the socket is closed.
-// Datagrams that do not open with the fleet's key are dropped.
-func (datagrams *Datagrams[Message]) Receive(handle func(Message)) {
+// Receive calls handle for every authentic message until the socket is closed. It
+// drops datagrams that were not encrypted with the fleet's key.
+func (datagrams *DatagramConn[Message]) Receive(handle func(Message)) {
 	buffer := make([]byte, 1<<16)
 	for {
 		count, _, err := datagrams.socket.ReadFromUDPAddrPort(buffer)
@@ -73,7 +74,7 @@
 		if err != nil {
 			continue
 		}
-		plain, err := datagrams.credentials.seal.Open(nil, nil, buffer[:count], nil)
+		plain, err := datagrams.credentials.aead.Open(nil, nil, buffer[:count], nil)
 		if err != nil {
 			continue
 		}
@@ -85,4 +86,4 @@
 }
 
 // Close closes the socket.
-func (datagrams *Datagrams[Message]) Close() { _ = datagrams.socket.Close() }
+func (datagrams *DatagramConn[Message]) Close() { _ = datagrams.socket.Close() }
--- a/internal/plain/forwarder_test.go
+++ b/internal/plain/forwarder_test.go
@@ -16,100 +16,100 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// inOrder chooses servers in their order.
-type inOrder struct {
+// sequentialChooser selects servers in list order.
+type sequentialChooser struct {
 	servers []Server
 }
 
-func (chooser *inOrder) Choose(excluded []string) (Server, *failure.Failure) {
+func (chooser *sequentialChooser) Choose(excluded []string) (Server, *failure.Failure) {
 	if len(excluded) >= len(chooser.servers) {
 		return Server{}, failure.New(failure.KindNoEndpoint, "none", "wait").WithRetryAfter(time.Second)
 	}
 	return chooser.servers[len(excluded)], nil
 }
 
-func (*inOrder) Ended(Server, bool) {}
+func (*sequentialChooser) ReportResult(Server, bool) {}
 
-type generous struct{}
+type unlimitedBudget struct{}
 
-func (generous) Withdraw(time.Time) bool { return true }
+func (unlimitedBudget) Withdraw(time.Time) bool { return true }
 
-// behaviour is how a server treats a request.
-type behaviour func(writer http.ResponseWriter, request *http.Request)
+// behavior is the handler of a test server.
+type behavior func(writer http.ResponseWriter, request *http.Request)
 
-func answers(text string) behaviour {
+func respondsWith(text string) behavior {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(engineapi.HeaderAttempt, request.Header.Get(engineapi.HeaderAttempt))
 		_, _ = io.WriteString(writer, text)
 	}
 }
 
-func refuses(writer http.ResponseWriter, _ *http.Request) {
-	writer.Header().Set(engineapi.HeaderRefused, "leaving")
+func rejects(writer http.ResponseWriter, _ *http.Request) {
+	writer.Header().Set(engineapi.HeaderNotStarted, "leaving")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func dies(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func dropsConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func crosses(writer http.ResponseWriter, _ *http.Request) {
+func echoesOtherAttempt(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set(engineapi.HeaderAttempt, "another attempt")
 	_, _ = io.WriteString(writer, "somebody else's answer")
 }
 
-// dead is an address where nothing listens.
-const dead = "127.0.0.1:1"
+// unreachableAddress is an address on which nothing listens.
+const unreachableAddress = "127.0.0.1:1"
 
-// forward sends one request over servers of the given behaviours; nil is a dead
-// one. It returns how many of them it reached.
-func forward(t *testing.T, repeatable bool, behaviours ...behaviour) (answer *Answer, reached int, err error) {
+// forward sends one request over servers with the given behaviors, where nil
+// stands for an unreachable server. It returns the number of requests received.
+func forward(t *testing.T, repeatable bool, behaviors ...behavior) (answer *Answer, reached int, err error) {
 	t.Helper()
 	var count atomic.Int32
-	chooser := &inOrder{}
-	for _, behave := range behaviours {
-		if behave == nil {
-			chooser.servers = append(chooser.servers, Server{Name: "dead", Address: dead})
+	chooser := &sequentialChooser{}
+	for _, handle := range behaviors {
+		if handle == nil {
+			chooser.servers = append(chooser.servers, Server{Name: "dead", Address: unreachableAddress})
 			continue
 		}
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			count.Add(1)
-			behave(writer, request)
+			handle(writer, request)
 		}))
 		t.Cleanup(server.Close)
 		chooser.servers = append(chooser.servers, Server{Name: server.URL, Address: strings.TrimPrefix(server.URL, "http://")})
 	}
 	forwarder := NewForwarder(func() {})
 	request := Request{Method: http.MethodPost, Path: "/turns", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("turn"), Repeatable: repeatable}
-	answer, err = forwarder.Forward(context.Background(), request, chooser, generous{})
+	answer, err = forwarder.Forward(context.Background(), request, chooser, unlimitedBudget{})
 	return answer, int(count.Load()), err
 }
 
-func TestWhatDidNotStartGoesToTheNextServer(t *testing.T) {
+func TestUnstartedRequestIsRetriedOnNextServer(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
-		answer, _, err := forward(t, repeatable, nil, refuses, answers("done"))
+		answer, _, err := forward(t, repeatable, nil, rejects, respondsWith("done"))
 		require.NoError(t, err)
 		require.Equal(t, "done", string(answer.Body))
 	}
 }
 
-func TestWhatMayHaveRunIsNotSentAgain(t *testing.T) {
-	for _, harm := range []behaviour{dies, crosses} {
-		_, reached, err := forward(t, false, harm, answers("done"))
+func TestNonRepeatableRequestIsNotRetriedAfterSend(t *testing.T) {
+	for _, fault := range []behavior{dropsConnection, echoesOtherAttempt} {
+		_, reached, err := forward(t, false, fault, respondsWith("done"))
 		require.Equal(t, failure.Unknown, failure.As(err).Outcome)
 		require.Equal(t, 1, reached)
 	}
 }
 
-func TestRepeatableRequestsAreSentAgain(t *testing.T) {
-	for _, harm := range []behaviour{dies, crosses} {
-		answer, reached, err := forward(t, true, harm, answers("done"))
+func TestRepeatableRequestIsRetriedAfterSend(t *testing.T) {
+	for _, fault := range []behavior{dropsConnection, echoesOtherAttempt} {
+		answer, reached, err := forward(t, true, fault, respondsWith("done"))
 		require.NoError(t, err)
 		require.Equal(t, "done", string(answer.Body), "an answer of another attempt is dropped")
 		require.Equal(t, 2, reached)
 	}
 }
 
-func TestNothingReachedIsNotRun(t *testing.T) {
-	_, reached, err := forward(t, false, nil, refuses)
+func TestUnreachedRequestReportsNotRun(t *testing.T) {
+	_, reached, err := forward(t, false, nil, rejects)
 	require.Equal(t, failure.NotRun, failure.As(err).Outcome)
 	require.Positive(t, failure.As(err).RetryAfter)
 	require.Equal(t, 1, reached)
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -1,5 +1,5 @@
-// Package prefixindex remembers which engine holds which cached blocks. It is a
-// hint: engines check identity, epoch and version themselves.
+// Package prefixindex indexes which engines hold which cached blocks. The index
+// is a hint: engines check identity, epoch and version themselves.
 package prefixindex
 
 import (
@@ -8,60 +8,63 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Holder is one incarnation of an engine. Entries belong to an incarnation, so
-// those of a dead one can never be looked up.
+// Holder identifies one incarnation of an engine. Entries belong to an
+// incarnation, so lookups never return entries of an earlier one.
 type Holder struct {
 	Endpoint string
-	// Epoch is a tag of the incarnation's name, which is longer than it need be to
-	// tell two incarnations of one engine apart.
+	// Epoch is a 32-bit hash of the incarnation's name, which suffices to
+	// distinguish the incarnations of one engine.
 	Epoch uint32
 }
 
-// NewHolder names an incarnation of an engine.
+// NewHolder returns the holder for an incarnation of an engine.
 func NewHolder(endpoint, epoch string) Holder {
 	return Holder{Endpoint: endpoint, Epoch: uint32(xxhash.Sum64String(epoch))}
 }
 
-// Update is a batch of changes from one engine's event reader.
+// Update is a batch of cache changes from one engine's event reader.
 type Update struct {
 	Holder Holder
-	// Clear drops what was known of the holder first, as after a gap.
+	// Clear removes all entries of the holder first, as after a gap.
 	Clear   bool
 	Stored  []prefix.Hash
 	Evicted []prefix.Hash
 }
 
-// Depth says how many leading blocks of a chain a holder has.
+// Depth is the number of leading blocks of a chain that a holder has.
 type Depth struct {
 	Holder Holder
 	Blocks int
 }
 
-// Index maps blocks to holders. It is not safe for concurrent use.
+// Index maps blocks to holders, which it refers to by slot, their position in
+// holders. It is not safe for concurrent use.
 type Index struct {
 	slots   map[Holder]uint16
 	holders []Holder
-	// current is the slot of each endpoint's newest incarnation.
-	current map[string]uint16
-	free    []uint16
-	blocks  map[prefix.Hash][]uint16
-	depths  []int
-	touched []uint16
+	// newestSlot holds the slot of each endpoint's newest incarnation.
+	newestSlot map[string]uint16
+	freeSlots  []uint16
+	blocks     map[prefix.Hash][]uint16
+	// depths, by slot, and matchedSlots are scratch space of Lookup.
+	depths       []int
+	matchedSlots []uint16
 }
 
 // New returns an empty index.
 func New() *Index {
-	return &Index{slots: map[Holder]uint16{}, current: map[string]uint16{}, blocks: map[prefix.Hash][]uint16{}}
+	return &Index{slots: map[Holder]uint16{}, newestSlot: map[string]uint16{}, blocks: map[prefix.Hash][]uint16{}}
 }
 
-// Len is the number of distinct blocks.
+// Len returns the number of distinct blocks.
 func (index *Index) Len() int { return len(index.blocks) }
 
-// Apply takes a batch. A batch of a new incarnation retires the old one.
+// Apply applies an update. An update from a new incarnation removes the entries
+// of the old one.
 func (index *Index) Apply(update Update) {
 	slot := index.slot(update.Holder)
 	if update.Clear {
-		index.drop(slot)
+		index.clearSlot(slot)
 	}
 	for _, hash := range update.Stored {
 		index.add(hash, slot)
@@ -71,28 +74,28 @@
 	}
 }
 
-// Retire forgets everything of an endpoint.
-func (index *Index) Retire(endpoint string) {
-	slot, found := index.current[endpoint]
+// RemoveEndpoint removes all entries of an endpoint.
+func (index *Index) RemoveEndpoint(endpoint string) {
+	slot, found := index.newestSlot[endpoint]
 	if !found {
 		return
 	}
-	index.drop(slot)
+	index.clearSlot(slot)
 	delete(index.slots, index.holders[slot])
-	delete(index.current, endpoint)
+	delete(index.newestSlot, endpoint)
 	index.holders[slot] = Holder{}
-	index.free = append(index.free, slot)
+	index.freeSlots = append(index.freeSlots, slot)
 }
 
 func (index *Index) slot(holder Holder) uint16 {
 	if slot, found := index.slots[holder]; found {
 		return slot
 	}
-	index.Retire(holder.Endpoint)
+	index.RemoveEndpoint(holder.Endpoint)
 	var slot uint16
-	if count := len(index.free); count > 0 {
-		slot = index.free[count-1]
-		index.free = index.free[:count-1]
+	if count := len(index.freeSlots); count > 0 {
+		slot = index.freeSlots[count-1]
+		index.freeSlots = index.freeSlots[:count-1]
 	} else {
 		slot = uint16(len(index.holders))
 		index.holders = append(index.holders, Holder{})
@@ -100,47 +103,47 @@
 	}
 	index.holders[slot] = holder
 	index.slots[holder] = slot
-	index.current[holder.Endpoint] = slot
+	index.newestSlot[holder.Endpoint] = slot
 	return slot
 }
 
 func (index *Index) add(hash prefix.Hash, slot uint16) {
-	held := index.blocks[hash]
-	for _, other := range held {
+	slots := index.blocks[hash]
+	for _, other := range slots {
 		if other == slot {
 			return
 		}
 	}
-	index.blocks[hash] = append(held, slot)
+	index.blocks[hash] = append(slots, slot)
 }
 
 func (index *Index) remove(hash prefix.Hash, slot uint16) {
-	held := index.blocks[hash]
-	for position, other := range held {
+	slots := index.blocks[hash]
+	for position, other := range slots {
 		if other != slot {
 			continue
 		}
-		if len(held) == 1 {
+		if len(slots) == 1 {
 			delete(index.blocks, hash)
 			return
 		}
-		held[position] = held[len(held)-1]
-		index.blocks[hash] = held[:len(held)-1]
+		slots[position] = slots[len(slots)-1]
+		index.blocks[hash] = slots[:len(slots)-1]
 		return
 	}
 }
 
-func (index *Index) drop(slot uint16) {
+func (index *Index) clearSlot(slot uint16) {
 	for hash := range index.blocks {
 		index.remove(hash, slot)
 	}
 }
 
-// Lookup appends the depth at which each holder has the chain. Engines evict
-// leaves first, so a holder of a block holds all blocks before it; a hole from
-// a lost event ends the depth early, which errs on the safe side.
+// Lookup appends the depth to which each holder has the chain. Engines evict
+// leaves first, so a holder of a block holds all blocks before it. A hole left by
+// a lost event ends the depth early, so that the depth is never too high.
 func (index *Index) Lookup(depths []Depth, chain []prefix.Hash) []Depth {
-	index.touched = index.touched[:0]
+	index.matchedSlots = index.matchedSlots[:0]
 	for position, hash := range chain {
 		advanced := false
 		for _, slot := range index.blocks[hash] {
@@ -148,7 +151,7 @@
 				continue
 			}
 			if position == 0 {
-				index.touched = append(index.touched, slot)
+				index.matchedSlots = append(index.matchedSlots, slot)
 			}
 			index.depths[slot] = position + 1
 			advanced = true
@@ -157,7 +160,7 @@
 			break
 		}
 	}
-	for _, slot := range index.touched {
+	for _, slot := range index.matchedSlots {
 		depths = append(depths, Depth{Holder: index.holders[slot], Blocks: index.depths[slot]})
 		index.depths[slot] = 0
 	}
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-func chainOf(root uint64, length int) []prefix.Hash {
+func newChain(root uint64, length int) []prefix.Hash {
 	chain := []prefix.Hash{}
 	last := prefix.Hash(root)
 	for position := range length {
@@ -23,9 +23,9 @@
 	return chain
 }
 
-// TestIndexAgreesWithTheCaches applies random stores, evictions and crashes to
-// a plain model of the caches and to the index, and compares every lookup.
-func TestIndexAgreesWithTheCaches(t *testing.T) {
+// TestLookupMatchesEngineCaches applies random stores, evictions and crashes to a
+// simple model of the caches and to the index, and compares every lookup.
+func TestLookupMatchesEngineCaches(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		index := New()
 		depths := map[string]map[uint64]int{}
@@ -41,11 +41,11 @@
 			switch rapid.SampledFrom([]string{"store", "store", "evict", "crash"}).Draw(t, "step") {
 			case "store":
 				length := rapid.IntRange(held, 12).Draw(t, "length")
-				index.Apply(Update{Holder: holder(name), Stored: chainOf(root, 12)[:length]})
+				index.Apply(Update{Holder: holder(name), Stored: newChain(root, 12)[:length]})
 				depths[name][root] = length
 			case "evict":
 				length := rapid.IntRange(0, held).Draw(t, "left")
-				index.Apply(Update{Holder: holder(name), Evicted: chainOf(root, 12)[length:held]})
+				index.Apply(Update{Holder: holder(name), Evicted: newChain(root, 12)[length:held]})
 				depths[name][root] = length
 			case "crash":
 				epochs[name]++
@@ -54,7 +54,7 @@
 			}
 			for root := uint64(1); root <= 4; root++ {
 				found := map[Holder]int{}
-				for _, depth := range index.Lookup(nil, chainOf(root, 12)) {
+				for _, depth := range index.Lookup(nil, newChain(root, 12)) {
 					found[depth.Holder] = depth.Blocks
 				}
 				for name := range depths {
@@ -67,9 +67,9 @@
 	})
 }
 
-func TestAnchorsNameDepthsAtMostSevenTooLow(t *testing.T) {
+func TestAnchorDepthUnderestimatesByAtMostSeven(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		chain := chainOf(1, rapid.IntRange(1, 100).Draw(t, "length"))
+		chain := newChain(1, rapid.IntRange(1, 100).Draw(t, "length"))
 		held := rapid.IntRange(0, len(chain)).Draw(t, "held")
 		index := New()
 		stored := []prefix.Hash{}
@@ -88,17 +88,17 @@
 	})
 }
 
-func TestExpectedEntriesLapse(t *testing.T) {
+func TestSpeculativeEntriesExpire(t *testing.T) {
 	now := time.Unix(0, 0)
-	expected := NewExpected(time.Second)
-	chain := chainOf(1, 3)
-	expected.Add(now, NewHolder("a", "1"), chain)
-	require.Len(t, expected.Lookup(now.Add(500*time.Millisecond), nil, chain), 1)
-	require.Empty(t, expected.Lookup(now.Add(2500*time.Millisecond), nil, chain))
+	index := NewSpeculativeIndex(time.Second)
+	chain := newChain(1, 3)
+	index.Add(now, NewHolder("a", "1"), chain)
+	require.Len(t, index.Lookup(now.Add(500*time.Millisecond), nil, chain), 1)
+	require.Empty(t, index.Lookup(now.Add(2500*time.Millisecond), nil, chain))
 }
 
-// BenchmarkIngest applies stores and evictions of one event each way.
-func BenchmarkIngest(b *testing.B) {
+// BenchmarkApply applies updates with a single stored or evicted block.
+func BenchmarkApply(b *testing.B) {
 	index := New()
 	holder := NewHolder("a", "1")
 	const window = 100_000
@@ -118,8 +118,8 @@
 	b.ReportMetric(2*float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkMemory reports the bytes that one indexed block costs.
-func BenchmarkMemory(b *testing.B) {
+// BenchmarkIndexMemoryPerBlock reports the memory that one indexed block uses.
+func BenchmarkIndexMemoryPerBlock(b *testing.B) {
 	const blocks = 112_000
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -129,7 +129,7 @@
 		for engine := range 2 {
 			holder := NewHolder(fmt.Sprint(engine), "1")
 			for root := range uint64(blocks / 2 / 50) {
-				index.Apply(Update{Holder: holder, Stored: chainOf(root*2+uint64(engine), 50)})
+				index.Apply(Update{Holder: holder, Stored: newChain(root*2+uint64(engine), 50)})
 			}
 		}
 		runtime.GC()
--- a/internal/proxy/placer.go
+++ b/internal/proxy/placer.go
@@ -311,7 +311,7 @@
 }
 
 // hashFraction maps a request ID to a number from 0 to 1.
-func hashFraction(id string) float64 { return float64(prefix.KeyOf(id)) / math.MaxUint64 }
+func hashFraction(id string) float64 { return float64(prefix.HashName(id)) / math.MaxUint64 }
 
 // annotate fills in the candidates' affinity, cache hits, import sources and replaced loss.
 func (placer *placer) annotate(candidates []routing.Candidate, now time.Time) {
@@ -371,7 +371,7 @@
 	request.BlockTokens = 1
 	request.Blocks = placer.sharedTokens()
 	request.PrefillTokensPerSecond = placer.proxy.prefillRate.tokensPerSecond()
-	request.SampleSeed = uint64(prefix.KeyOf(placer.admitted.request.ID))
+	request.SampleSeed = uint64(prefix.HashName(placer.admitted.request.ID))
 	request.SlotSeconds = placer.proxy.slotTime.seconds()
 	request.ImportTokensPerSecond = storeImportRate(placer.admitted.service.Engine, placer.store())
 	return request
@@ -395,7 +395,7 @@
 	query := backend.Query{Service: placer.admitted.service.Name, Distance: placer.proxy.distance}
 	prompt := placer.prompt()
 	if prompt == nil {
-		query.HashPoint = uint64(prefix.KeyOf(placer.admitted.request.ID))
+		query.HashPoint = uint64(prefix.HashName(placer.admitted.request.ID))
 		return query
 	}
 	query.HashPoint = uint64(placer.subsetKey())
--- a/internal/proxy/prompt.go
+++ b/internal/proxy/prompt.go
@@ -52,9 +52,9 @@
 func (placer *placer) affinityKey() prefix.Hash {
 	shared := placer.sharedParts()
 	if len(shared) == 0 {
-		return prefix.KeyOf(placer.admitted.request.ID)
+		return prefix.HashName(placer.admitted.request.ID)
 	}
-	return prefix.KeyOf(placer.cacheScope() + "/" + shared[len(shared)-1].ID)
+	return prefix.HashName(placer.cacheScope() + "/" + shared[len(shared)-1].ID)
 }
 
 // subsetKey returns the key of the first shared part. Requests that share this part choose
@@ -65,7 +65,7 @@
 	if len(shared) == 0 {
 		return placer.affinityKey()
 	}
-	return prefix.KeyOf(placer.cacheScope() + "/" + shared[0].ID)
+	return prefix.HashName(placer.cacheScope() + "/" + shared[0].ID)
 }
 
 // cacheScope returns the tenant's name if the tenant is isolated, which keeps its cached
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -63,7 +63,7 @@
 		return nil
 	}
 	proxy.recorder.RequestQuarantined(admitted.request, admitted.fingerprint(), verdict)
-	return failure.New(failure.KindHeldOff, quarantineProblem(verdict), "change the request, or send it again after the time given").
+	return failure.New(failure.KindQuarantined, quarantineProblem(verdict), "change the request, or send it again after the time given").
 		WithRetryAfter(verdict.Until.Sub(now))
 }
 
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -16,7 +16,7 @@
 type Key uint32
 
 // NewKey returns the key of the piece with the given id and salt.
-func NewKey(salt, id string) Key { return Key(prefix.KeyOf(salt + id)) }
+func NewKey(salt, id string) Key { return Key(prefix.HashName(salt + id)) }
 
 // Piece is one piece of a prompt, in prompt order.
 type Piece struct {
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -13,113 +13,116 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Checker reports faults that need more than one field to see. Path names are
-// those of the file, such as pools[0].engines[1].name.
+// Checker is implemented by values with constraints that span several fields.
+// Paths are those of the file, such as pools[0].engines[1].name.
 type Checker interface {
 	Check(report func(path, problem, remedy string))
 }
 
-// Decode reads data into out, a pointer to a struct with yaml and validate
-// tags. The error is Faults when the file is wrong.
+// Decode decodes data into out, a pointer to a struct with yaml and validate
+// tags. If the file is invalid, the error is of type Diagnostics.
 func Decode(file string, data []byte, out any) error {
-	walk, err := structure(file, data, out)
+	walk, err := checkStructure(file, data, out)
 	if err != nil {
 		return err
 	}
-	sound := len(walk.faults) == 0
-	// Range faults are reported together with the structural ones; references
-	// only make sense once the structure is sound.
-	walk.validate(out)
-	if sound {
-		walk.cross(out)
+	valid := len(walk.diagnostics) == 0
+	// Violations of validate tags are reported together with structural ones.
+	// References are checked only if the structure is valid.
+	walk.checkConstraints(out)
+	if valid {
+		walk.checkReferences(out)
 	}
-	if len(walk.faults) > 0 {
+	if len(walk.diagnostics) > 0 {
 		return walk.sorted()
 	}
 	return nil
 }
 
-// DecodePartial is Decode for a file whose values may still be overridden: keys
-// and types are checked, ranges and references are not.
+// DecodePartial decodes a file whose values may still be overridden. It checks
+// keys and types, but not validate tags and references.
 func DecodePartial(file string, data []byte, out any) error {
-	walk, err := structure(file, data, out)
+	walk, err := checkStructure(file, data, out)
 	if err != nil {
 		return err
 	}
-	if len(walk.faults) > 0 {
+	if len(walk.diagnostics) > 0 {
 		return walk.sorted()
 	}
 	return nil
 }
 
-// structure checks keys and types and decodes what is sound.
-func structure(file string, data []byte, out any) (*walker, error) {
+// checkStructure checks keys and types and decodes the data into out.
+func checkStructure(file string, data []byte, out any) (*walker, error) {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
-		return nil, Faults{syntaxFault(file, err)}
+		return nil, Diagnostics{syntaxDiagnostic(file, err)}
 	}
 	walk := &walker{file: file, lines: map[string]int{}}
 	if len(tree.Docs) > 0 && tree.Docs[0].Body != nil {
-		walk.node("", tree.Docs[0].Body, reflect.TypeOf(out).Elem())
+		walk.checkNode("", tree.Docs[0].Body, reflect.TypeOf(out).Elem())
 	}
-	if err := yaml.Unmarshal(data, out); err != nil && len(walk.faults) == 0 {
-		return nil, Faults{syntaxFault(file, err)}
+	if err := yaml.Unmarshal(data, out); err != nil && len(walk.diagnostics) == 0 {
+		return nil, Diagnostics{syntaxDiagnostic(file, err)}
 	}
 	return walk, nil
 }
 
-// Validate checks a value that came without a file, such as one read from JSON.
+// Validate checks the validate tags and references of a value that was not read
+// from a YAML file, such as one decoded from JSON.
 func Validate(name string, value any) error {
 	walk := &walker{file: name, lines: map[string]int{}}
-	walk.validate(value)
-	walk.cross(value)
-	if len(walk.faults) > 0 {
+	walk.checkConstraints(value)
+	walk.checkReferences(value)
+	if len(walk.diagnostics) > 0 {
 		return walk.sorted()
 	}
 	return nil
 }
 
-func syntaxFault(file string, err error) Fault {
+func syntaxDiagnostic(file string, err error) Diagnostic {
 	line := 0
-	var located yaml.Error
-	if errors.As(err, &located) && located.GetToken() != nil {
-		line = located.GetToken().Position.Line
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		line = yamlErr.GetToken().Position.Line
 	}
 	problem := strings.SplitN(yaml.FormatError(err, false, false), "\n", 2)[0]
-	return Fault{File: file, Line: line, Field: "(file)", Problem: problem, Remedy: "write valid YAML"}
+	return Diagnostic{File: file, Line: line, Field: "(file)", Problem: problem, Remedy: "write valid YAML"}
 }
 
+// walker checks a syntax tree against a Go type and collects diagnostics. Its
+// lines map the path of each value to its line in the file.
 type walker struct {
-	file   string
-	lines  map[string]int
-	faults Faults
+	file        string
+	lines       map[string]int
+	diagnostics Diagnostics
 }
 
 func (walk *walker) report(path, problem, remedy string) {
-	walk.faults = append(walk.faults, Fault{File: walk.file, Line: walk.line(path), Field: path, Problem: problem, Remedy: remedy})
+	walk.diagnostics = append(walk.diagnostics, Diagnostic{File: walk.file, Line: walk.lineOf(path), Field: path, Problem: problem, Remedy: remedy})
 }
 
-// line finds the line of the path, or of the nearest enclosing value.
-func (walk *walker) line(path string) int {
+// lineOf returns the line of the path, or of the nearest enclosing value.
+func (walk *walker) lineOf(path string) int {
 	for path != "" {
 		if line, found := walk.lines[path]; found {
 			return line
 		}
-		cut := strings.LastIndexAny(path, ".[")
-		if cut < 0 {
+		separator := strings.LastIndexAny(path, ".[")
+		if separator < 0 {
 			break
 		}
-		path = path[:cut]
+		path = path[:separator]
 	}
 	return 1
 }
 
-func (walk *walker) sorted() Faults {
-	sort.SliceStable(walk.faults, func(i, j int) bool { return walk.faults[i].Line < walk.faults[j].Line })
-	return walk.faults
+func (walk *walker) sorted() Diagnostics {
+	sort.SliceStable(walk.diagnostics, func(i, j int) bool { return walk.diagnostics[i].Line < walk.diagnostics[j].Line })
+	return walk.diagnostics
 }
 
-func (walk *walker) node(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkNode(path string, node ast.Node, kind reflect.Type) {
 	if _, found := walk.lines[path]; !found {
 		walk.lines[path] = node.GetToken().Position.Line
 	}
@@ -128,20 +131,20 @@
 	}
 	switch {
 	case node.Type() == ast.NullType:
-	case kind.Kind() == reflect.Struct && !hasOwnDecoder(kind):
-		walk.mapping(path, node, kind)
+	case kind.Kind() == reflect.Struct && !hasCustomDecoder(kind):
+		walk.checkMapping(path, node, kind)
 	case kind.Kind() == reflect.Slice:
-		walk.sequence(path, node, kind)
+		walk.checkSequence(path, node, kind)
 	default:
-		walk.scalar(path, node, kind)
+		walk.checkScalar(path, node, kind)
 	}
 }
 
-func hasOwnDecoder(kind reflect.Type) bool {
+func hasCustomDecoder(kind reflect.Type) bool {
 	return reflect.PointerTo(kind).Implements(reflect.TypeFor[yaml.BytesUnmarshaler]())
 }
 
-func (walk *walker) mapping(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkMapping(path string, node ast.Node, kind reflect.Type) {
 	entries, ok := node.(ast.MapNode)
 	if !ok {
 		walk.report(path, "is not a mapping", "write it as key: value lines")
@@ -169,23 +172,23 @@
 			walk.report(child, "key given twice", "keep one of them")
 		default:
 			seen[key] = true
-			walk.node(child, iterator.Value(), field)
+			walk.checkNode(child, iterator.Value(), field)
 		}
 	}
 }
 
-func (walk *walker) sequence(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkSequence(path string, node ast.Node, kind reflect.Type) {
 	items, ok := node.(*ast.SequenceNode)
 	if !ok {
 		walk.report(path, "is not a list", "write it as - items")
 		return
 	}
 	for index, item := range items.Values {
-		walk.node(fmt.Sprintf("%s[%d]", path, index), item, kind.Elem())
+		walk.checkNode(fmt.Sprintf("%s[%d]", path, index), item, kind.Elem())
 	}
 }
 
-func (walk *walker) scalar(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkScalar(path string, node ast.Node, kind reflect.Type) {
 	value := reflect.New(kind)
 	if err := yaml.NodeToValue(node, value.Interface()); err != nil {
 		walk.report(path, fmt.Sprintf("%q is not a %s", node.GetToken().Value, typeName(kind)), "write "+typeExample(kind))
@@ -237,7 +240,7 @@
 	return validate
 }
 
-func (walk *walker) validate(value any) {
+func (walk *walker) checkConstraints(value any) {
 	err := newValidator().Struct(value)
 	var failures validator.ValidationErrors
 	if !errors.As(err, &failures) {
@@ -250,7 +253,7 @@
 	}
 }
 
-func (walk *walker) cross(value any) {
+func (walk *walker) checkReferences(value any) {
 	if checker, ok := value.(Checker); ok {
 		checker.Check(walk.report)
 	}
