--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -8,25 +8,26 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Claim is what an attempt brings to a server, and what its choice relied on.
+// Placement describes an attempt to be sent to a selected server, and the state of the server on
+// which the selection relied.
 type Claim struct {
-	// Query is the one by which the server became a candidate, and Chosen the candidate as the
-	// choice saw it.
+	// Query is the query that returned the server as a candidate, and Chosen the candidate as the
+	// selection saw it.
 	Query  Query
 	Chosen routing.Candidate
-	// Tokens are the prompt tokens that the server has to read.
+	// Tokens is the number of prompt tokens that the server has to process.
 	Tokens int
-	// Deferred says that the attempt lets all others go first: until it has started it is no
-	// work that they would wait for.
+	// Deferred marks an attempt that yields to all others: until it has started, it does not count
+	// as work that delays them.
 	Deferred bool
-	// Holds reports whether the choice stands for the server as it is now. It is called under
-	// the set's lock and must not call the set.
+	// StillValid reports whether the selection still holds for the current state of the server. It
+	// is called with the lock of the Set held and must not call the Set.
 	Holds func(current *routing.Candidate) bool
 }
 
-// Begin counts an attempt in flight if its choice still stands. The check and the count are one
-// critical section: of many that chose a server at the same moment, each sees those before it.
-// The attempt is nil if the choice does not stand.
+// Begin registers an attempt in flight if the placement is still valid, and returns nil
+// otherwise. Check and registration are one critical section, so that of many placements that
+// selected the same server concurrently, each sees those before it.
 func (set *Set) Begin(claim Claim, now time.Time) *Attempt {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -53,23 +54,23 @@
 	}
 }
 
-// Attempt is one attempt in flight.
+// Attempt is one attempt in flight on a server.
 type Attempt struct {
 	set    *Set
 	state  *state
 	tokens int
-	// deferred says that it has not started and that others go first.
+	// deferred reports that the attempt yields to others and has not started.
 	deferred bool
-	// trial is the round in which it tries the server after a rest, or 0, and admitted says
-	// that the server has begun to answer it.
+	// slowStartRound is the slow-start round in which the attempt counts toward the window of the
+	// server, or 0. admitted reports that the server has begun to answer it.
 	trial    int
 	admitted bool
-	// probe says that it is the one that probes the server after its breaker opened.
+	// probe reports that this attempt probes the server after its breaker opened.
 	probe bool
 	begun time.Time
 }
 
-// Started says that the server has read the prompt.
+// Started records that the server has processed the prompt and begun to answer.
 func (attempt *Attempt) Started(now time.Time) {
 	if attempt.state == nil {
 		return
@@ -86,7 +87,7 @@
 	attempt.state.answered(attempt.begun)
 }
 
-// admit notes once that the server works on the attempt.
+// markAdmitted records, at most once, that the server has accepted the attempt.
 func (attempt *Attempt) admit() {
 	if attempt.trial > 0 && !attempt.admitted {
 		attempt.admitted = true
@@ -94,7 +95,8 @@
 	}
 }
 
-// HeardSince reports whether the server has answered anything since a time.
+// ServerRespondedSince reports whether the server has responded to any attempt since a given
+// time.
 func (attempt *Attempt) HeardSince(since time.Time) bool {
 	if attempt.state == nil {
 		return false
@@ -113,7 +115,7 @@
 	}
 }
 
-// End says how the attempt ended.
+// End records the result of the attempt. Further calls have no effect.
 func (attempt *Attempt) End(result exchange.Result, now time.Time) {
 	if attempt.state == nil {
 		return
@@ -137,16 +139,16 @@
 	known.judge(result, attempt.probe, now)
 }
 
-// answered notes that the server answered what was sent at a time, unless another
-// incarnation did so in its place.
+// recordAnswered records that the server answered an attempt sent at sentAt, unless the answer
+// came from another incarnation at its address.
 func (state *state) answered(sent time.Time) {
 	if state.goneUntil.IsZero() && sent.After(state.answeredSent) {
 		state.answeredSent = sent
 	}
 }
 
-// AnsweredSince reports whether a server, named by its ServerKey, has answered anything that
-// was sent after a time: it had not ended then.
+// AnsweredSince reports whether the server with the given ServerKey has answered any attempt
+// that was sent after a given time, which shows that it had not terminated by then.
 func (set *Set) AnsweredSince(server uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -168,7 +170,8 @@
 		state.abandon(probe)
 		state.busyUntil = now.Add(refusalRest)
 		if state.rest.left(now) == 0 {
-			// A server that says when to come back is not asked in the meantime anyway.
+			// The server is in backoff and gets no requests until its end, so the refusal does not
+			// raise its failure rate.
 			state.refusals.note(1, now)
 		}
 	case exchange.ResultUnreached:
@@ -181,7 +184,7 @@
 	}
 }
 
-// fail counts a failure.
+// recordFailure adds a failure to the failure rate and to the breaker.
 func (state *state) fail(config retry.BreakerConfig, probe bool, now time.Time) {
 	state.failures.note(1, now)
 	if probe {
@@ -191,7 +194,7 @@
 	state.breaker.FailedBeside(config, now)
 }
 
-// abandon lets another attempt probe the server if this one was the probe.
+// releaseProbe lets another attempt probe the server if this one was the probe.
 func (state *state) abandon(probe bool) {
 	if probe {
 		state.breaker.Abandoned()
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -12,35 +12,35 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// always holds a choice whatever became of its server.
+// alwaysValid accepts a placement whatever the state of the server.
 func always(*routing.Candidate) bool { return true }
 
-// claimOf is an unconditional claim of a server.
+// unconditionalPlacement returns a placement on a server that is always valid.
 func claimOf(name string) Claim {
 	return Claim{Query: query, Chosen: routing.Candidate{Endpoint: name}, Holds: always}
 }
 
-// send begins an attempt that relies on nothing.
+// send begins an attempt unconditionally.
 func send(set *Set, name string, tokens int, now time.Time) *Attempt {
 	claim := claimOf(name)
 	claim.Tokens = tokens
 	return set.Begin(claim, now)
 }
 
-// sendDeferred begins an attempt that lets all others go first.
+// sendDeferred begins an attempt that yields to all others.
 func sendDeferred(set *Set, name string, now time.Time) *Attempt {
 	claim := claimOf(name)
 	claim.Deferred = true
 	return set.Begin(claim, now)
 }
 
-// accepts holds a choice while the server takes requests.
+// passesFilters accepts a placement while the server passes the routing filters.
 func accepts(current *routing.Candidate) bool {
 	return routing.Filter(&routing.Request{}, current) == routing.Accepted
 }
 
-// beginAll lets a number of placements look at a server, and begins them afterwards in some order
-// in which they have all looked before. It returns those that began.
+// beginConcurrently lets a number of placements read the state of a server before any of them
+// begins, and returns the attempts that began.
 func beginAll(t *rapid.T, set *Set, name string, number int, now time.Time) []*Attempt {
 	var claims []Claim
 	for range number {
@@ -58,8 +58,9 @@
 	return began
 }
 
-// Guards against a herd on a server that is probed: whatever failures opened its breaker and
-// however many placements have seen it unprobed, one attempt probes it until that has ended.
+// Guards against a thundering herd on a server whose breaker is half-open: whatever failures
+// opened the breaker and however many placements saw it without a probe, only one attempt probes
+// the server until that attempt has ended.
 func TestPlacementsOfOneMomentSendOneProbe(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
@@ -74,7 +75,8 @@
 			now = now.Add(unreachedBreaker.MaximumRest)
 			probes := beginAll(t, set, "x", rapid.IntRange(1, 60).Draw(t, "placements"), now)
 			require.Len(t, probes, 1)
-			// The end of what went out before the breaker opened frees no other probe.
+			// An attempt sent before the breaker opened does not release another probe when it
+			// ends.
 			for _, straggler := range open {
 				straggler.End(rapid.SampledFrom([]exchange.Result{exchange.ResultNeutral, exchange.ResultRefused}).Draw(t, "straggler"), now)
 			}
@@ -89,8 +91,8 @@
 	})
 }
 
-// Guards against a herd at the end of a backoff: placements that have all seen the slow-start
-// window open stay within it.
+// Guards against a thundering herd at the end of a backoff: placements that have all seen the
+// slow-start window open stay within it.
 func TestPlacementsOfOneMomentStayWithinTheSlowStartWindow(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := NewSet()
@@ -110,7 +112,8 @@
 	})
 }
 
-// Guards against sends to a server that withdrew, or was replaced, while a request was placed.
+// Guards against requests to a server that began draining, backed off or was replaced between
+// selection and sending.
 func TestAChoiceDoesNotOutliveItsServer(t *testing.T) {
 	for name, change := range map[string]func(set *Set){
 		"leaves":   func(set *Set) { set.Notice("x", Notice{Leaving: true}, begin) },
@@ -130,5 +133,5 @@
 			require.Nil(t, set.Begin(claim, begin))
 		})
 	}
-	require.Nil(t, NewSet().Begin(claimOf("x"), begin), "it was forgotten")
+	require.Nil(t, NewSet().Begin(claimOf("x"), begin), "unknown server")
 }
--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -7,24 +7,24 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Distance returns how far a server's zone is from here, 0 being the same zone.
+// Distance returns the distance of a zone from this node; 0 is the same zone.
 type Distance func(zone string) int
 
-// Query says which servers a request may go to.
+// Query selects the servers that are eligible for a request.
 type Query struct {
 	Service string
-	// Model is empty for plain services; MinimumVersion is the oldest version of
-	// its weights that may still serve.
+	// Model is empty for services without models. MinimumVersion is the oldest model version that
+	// may serve the request.
 	Model          string
 	MinimumVersion int64
 	Distance       Distance
-	// Near and Most choose Most servers of a large service, those whose keys follow Near.
-	// All nodes find the same ones for the same Near. If Most is 0, all are meant.
+	// Limit bounds the candidates to the servers whose keys follow HashPoint on the ring of the
+	// service; 0 means all servers. All nodes get the same subset for the same HashPoint.
 	Near uint64
 	Most int
 }
 
-// Candidates appends the servers of a service as routing sees them.
+// Candidates appends the eligible servers of a service as routing candidates.
 func (set *Set) Candidates(candidates []routing.Candidate, query Query, now time.Time) []routing.Candidate {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -48,10 +48,12 @@
 	return candidates
 }
 
-// running counts the attempts that others have to wait for.
+// running returns the number of attempts in flight without the deferred ones, which do not delay
+// others.
 func (d *dealings) running() int { return d.inFlight - d.deferred }
 
-// refresh fills in what the set knows of a server, and leaves the rest of the candidate.
+// fillCandidate sets the fields of a candidate that depend on the state of the server, and
+// leaves the others unchanged.
 func (set *Set) refresh(known *state, c *routing.Candidate, query *Query, now time.Time) {
 	server, dealings, others := known.server, known.dealt(), set.othersAt(known, now)
 	c.Endpoint, c.Address, c.Zone, c.Pool, c.Epoch = known.name, server.Address, server.Zone, server.Service, server.Instance
--- a/internal/backend/engines.go
+++ b/internal/backend/engines.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Engines returns the listed servers that hold models: all, or if there are more than most,
-// those at which any node had work within a time before now.
+// Engines returns the listed servers that have models loaded: all of them, or if there are more
+// than limit, those on which any node had work within the given time before now.
 func (set *Set) Engines(most int, within time.Duration, now time.Time) []Server {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -14,7 +14,7 @@
 	return servers
 }
 
-// CountEngines returns how many servers Engines would.
+// CountEngines returns the number of servers that Engines would return.
 func (set *Set) CountEngines(most int, within time.Duration, now time.Time) int {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -23,12 +23,12 @@
 	return count
 }
 
-// eachEngine calls a function for each server that Engines returns.
+// eachEngine calls visit for each server that Engines returns.
 func (set *Set) eachEngine(most int, within time.Duration, now time.Time, take func(known *state)) {
 	var rings []ring
 	all := 0
 	for _, r := range set.rings {
-		// The servers of a service hold models, or none of them does.
+		// Either all servers of a service have models, or none has.
 		if len(r) > 0 && len(r[0].server.Versions) > 0 {
 			rings = append(rings, r)
 			all += len(r)
@@ -56,7 +56,7 @@
 	}
 }
 
-// use notes that a node has work at a server.
+// markUsed records that a node has work on a server.
 func (set *Set) use(known *state, now time.Time) {
 	known.usedAt = now
 	set.used[known] = true
--- a/internal/backend/failures.go
+++ b/internal/backend/failures.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// priorAttempts is how many attempts without failure a server is taken to have
-// served before anything is known of it, so that one failure condemns nobody.
+// priorAttempts is the number of successful attempts assumed for every server as a prior, so
+// that a single failure does not rule it out.
 const priorAttempts = 3
 
-// failureShare estimates the share of attempts that fail or are refused, recent ones counting
-// more. The zero value has seen none.
+// failureRate estimates the share of attempts that fail or are refused, with exponential decay.
+// The zero value has no observations.
 type failureShare struct {
 	failed   float64
 	attempts float64
 	last     time.Time
 }
 
-// note adds an attempt; failed is 1 for a failure and 0 otherwise.
+// record adds an attempt; failed is 1 for a failure and 0 for a success.
 func (share *failureShare) note(failed float64, now time.Time) {
 	decay := share.decay(now)
 	share.failed = share.failed*decay + failed
@@ -25,7 +25,7 @@
 	share.last = now
 }
 
-// at returns the estimate, from 0 to 1.
+// estimate returns the failure rate at a given time, from 0 to 1.
 func (share *failureShare) at(now time.Time) float64 {
 	decay := share.decay(now)
 	return share.failed * decay / (share.attempts*decay + priorAttempts)
--- a/internal/backend/incarnation_test.go
+++ b/internal/backend/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/cloverrail/cloverrail/internal/exchange"
 )
 
-// lifeOf is a server that started at a time under an id that others had before.
+// incarnationOf returns a server that started at a given time under a reused instance ID.
 func lifeOf(born int64, versions map[string]int64) Server {
 	return Server{Instance: "i", Born: born, Service: "s", Versions: versions}
 }
@@ -24,17 +24,17 @@
 	changes := set.Apply([]*Server{&second}, nil, begin)
 	require.Equal(t, []Change{{Server: first, Gone: true}, {Server: second}}, changes)
 	got := set.Candidates(nil, query, begin)
-	require.Len(t, got, 1, "the life before is gone")
+	require.Len(t, got, 1, "the former incarnation is unlisted")
 	require.Equal(t, second.Incarnation(), got[0].Endpoint)
-	require.Equal(t, "i", got[0].Epoch, "servers are called by their id")
+	require.Equal(t, "i", got[0].Epoch, "Epoch is the instance ID")
 	require.EqualValues(t, 5, got[0].Version)
 	require.Zero(t, got[0].InFlight+got[0].QueuedTokens)
 	require.False(t, got[0].Leaving || got[0].Busy || got[0].Resting || got[0].RestLeft > 0)
 	running.End(exchange.ResultUnreached, begin)
-	require.False(t, set.Candidates(nil, query, begin)[0].Resting, "what ran there says nothing of this one")
+	require.False(t, set.Candidates(nil, query, begin)[0].Resting, "a failure of the former incarnation does not count against the new one")
 	require.True(t, set.Ended(ServerKey(first.Incarnation()), begin))
 	require.False(t, set.Ended(ServerKey(second.Incarnation()), begin))
-	require.Equal(t, Notice{}, set.Notice(first.Incarnation(), Notice{Leaving: true}, begin), "a late answer of the life before")
+	require.Equal(t, Notice{}, set.Notice(first.Incarnation(), Notice{Leaving: true}, begin), "a late answer of the former incarnation")
 	require.False(t, set.Candidates(nil, query, begin)[0].Leaving)
 }
 
@@ -57,7 +57,7 @@
 	require.EqualValues(t, 4, got[0].Version)
 	require.False(t, got[0].Leaving)
 	set.Load(Loads{Loaded: []Load{{Instance: "i", Model: "m", Version: 6}}}, begin)
-	require.EqualValues(t, 6, set.Candidates(nil, query, begin)[0].Version, "what the roll-out tells names the id")
+	require.EqualValues(t, 6, set.Candidates(nil, query, begin)[0].Version, "the rollout names servers by instance ID")
 }
 
 func TestAPackedListTellsWhenServersStarted(t *testing.T) {
@@ -65,7 +65,7 @@
 	unpacked, err := Pack(list).Unpack()
 	require.NoError(t, err)
 	require.Equal(t, list, unpacked)
-	require.Nil(t, Pack(list[1:]).Born, "where none does, nothing is told")
+	require.Nil(t, Pack(list[1:]).Born, "omitted if no server reports its start time")
 	broken := Pack(list)
 	broken.Born = broken.Born[:1]
 	_, err = broken.Unpack()
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// loadingLife is how long a server is taken to load weights if nothing more is
-// heard of it.
+// loadingTTL is how long a server counts as loading unless the report is renewed.
 const loadingLife = 4 * time.Second
 
-// Load is a server's move to a version of a model's weights.
+// Load identifies the loading of a model version by a server.
 type Load struct {
 	Instance string
 	Model    string
 	Version  int64
 }
 
-// LoadsMark orders what holders of the roll-out tell of it.
+// LoadsMark orders the reports of successive rollout holders.
 type LoadsMark struct {
-	// Fence is the holder's fencing token, and Sequence counts what it told.
+	// Fence is the holder's fencing token, and Sequence the number of the report under that token.
 	Fence    int64
 	Sequence int64
 }
 
-// Before reports whether the mark is older than another.
+// Before reports whether m is older than other.
 func (m LoadsMark) Before(other LoadsMark) bool {
 	return m.Fence < other.Fence || m.Fence == other.Fence && m.Sequence < other.Sequence
 }
 
-// Loads is how far a roll-out of weights is.
+// Loads is the progress of a rollout of model versions.
 type Loads struct {
 	Mark LoadsMark
-	// Loading holds the moves that are under way, and Loaded those that have ended
-	// since the roll-out began.
+	// Loading holds the loads in progress, and Loaded those completed since the rollout began.
 	Loading []Load
 	Loaded  []Load
 }
 
-// Load takes how far a roll-out is. Servers that are not named do not load.
+// ApplyLoads replaces the progress of the rollout. Servers that are not in Loading are not
+// loading.
 func (set *Set) Load(loads Loads, now time.Time) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -54,7 +53,7 @@
 	}
 }
 
-// loads reports whether a server is busy loading weights of the model.
+// isLoading reports whether a server is loading a newer version of the model.
 func (set *Set) loads(known *state, model string, now time.Time) bool {
 	load := known.load
 	return load != nil && load.Model == model && known.server.Versions[model] < load.Version && now.Before(set.loadingUntil)
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// Notice is what a server says of itself beside an answer. The zero value says nothing.
+// Notice holds the signals that a server attaches to a response as headers. The zero value has
+// none.
 type Notice struct {
-	// Leaving says that the server is about to end and wants no new requests.
+	// Leaving reports that the server is shutting down and wants no new requests.
 	Leaving bool
-	// Rest is for how long it wants no requests of this node.
+	// RetryAfter is how long the server wants no requests from this node.
 	Rest time.Duration
-	// Limited says that it takes Limit requests a second from all nodes together.
+	// HasRateLimit reports that the server accepts RateLimit requests per second from all nodes
+	// together.
 	Limited bool
 	Limit   float64
-	// Whole says that the answer is the server's own and would name a limit if there were one.
+	// Authoritative reports that the response is the server's own and would include the rate limit
+	// if it had one.
 	Whole bool
-	// Unknown names a word that nobody here knows, or is "".
+	// UnknownHeader is the name of an unrecognized signal header, or empty.
 	Unknown string
 }
 
-// Says reports whether the notice says anything.
+// HasSignals reports whether the notice contains any signal.
 func (n Notice) Says() bool { return n != Notice{} && n != Notice{Whole: true} }
 
-// Notice takes what a server says of itself, and returns what of it is news.
+// Notice applies the signals of a server and returns those that are new.
 //
-// The list of servers is as old as the shared store's last answer, and may call a server ready
-// for as long as the store is away: its own word counts from the moment in which it is there.
+// They take effect at once, ahead of the server list: the list is only as recent as the last
+// response of the shared store, and may present a server as ready while the store is down.
 func (set *Set) Notice(instance string, notice Notice, now time.Time) Notice {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -47,15 +50,15 @@
 	return news
 }
 
-// Known is a server as others are told of it.
+// ServerRef identifies a server in messages and logs.
 type Known struct {
-	// Key is its ServerKey, Name that of its incarnation.
+	// Key is the ServerKey, and Name the incarnation name.
 	Key     uint64
 	Name    string
 	Service string
 }
 
-// Known returns the server of a name, the latest incarnation of an id.
+// Find returns the server with an incarnation name, or the latest incarnation of an instance ID.
 func (set *Set) Known(name string) (known Known, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -66,7 +69,7 @@
 	return state.known(), true
 }
 
-// KnownBy returns the first server whose ServerKey fits. It looks at all.
+// FindByKey returns any server whose ServerKey matches. It scans all servers.
 func (set *Set) KnownBy(fits func(server uint64) bool) (known Known, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -78,7 +81,7 @@
 	return Known{}, false
 }
 
-// KnownAt returns the listed server at an address. It looks at all.
+// FindByAddress returns the listed server at an address. It scans all servers.
 func (set *Set) KnownAt(address string) (known Known, found bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -90,7 +93,7 @@
 	return Known{}, false
 }
 
-// Knows reports whether a server, named by its ServerKey, is known.
+// Contains reports whether a server with the given ServerKey is known.
 func (set *Set) Knows(server uint64) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -101,9 +104,9 @@
 	return Known{Key: state.key, Name: state.name, Service: state.server.Service}
 }
 
-// leave notes that an incarnation has said that it leaves, and reports whether that is new.
-// No later word of the list takes that back, which may be older: an incarnation that leaves
-// does not come to stay again.
+// markDraining records that an incarnation is draining, and reports whether that is new. Later
+// list updates, which may be older, do not revert it: an incarnation that is shutting down does
+// not return to service.
 func (set *Set) leave(server uint64) bool {
 	if known := set.byKey[server]; known != nil {
 		known.leaves = true
@@ -111,11 +114,11 @@
 	return set.leavers.add(server)
 }
 
-// leaving reports whether the server leaves, by its own word or that of the list.
+// isDraining reports whether the server is draining, by its own signal or by the list.
 func (state *state) leaving() bool { return state.leaves || state.server.Draining }
 
-// Withdrawn reports whether a server wants no requests of this node now, since it leaves or
-// has asked for rest.
+// RejectsTraffic reports whether a server currently wants no requests from this node, since it
+// is draining or in backoff.
 func (set *Set) Withdrawn(instance string, now time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -123,7 +126,7 @@
 	return known != nil && (known.leaving() || known.dealt().rest.left(now) > 0)
 }
 
-// Resting returns the servers that have asked this node for rest, with its end.
+// Resting returns the servers that have asked this node for a backoff, with its end.
 func (set *Set) Resting(now time.Time) map[string]time.Time {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -136,7 +139,8 @@
 	return resting
 }
 
-// Leaving counts the servers in the list that have said to this node that they leave.
+// CountDraining returns the number of listed servers that have told this node directly that they
+// are shutting down.
 func (set *Set) Leaving() int {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -149,21 +153,21 @@
 	return count
 }
 
-// mostLeavers bounds the incarnations that are remembered as leaving, by two halves: of the
-// last 8,192 none is forgotten, which is more than a fleet of 10,000 servers replaces in an
-// hour of rolling releases. They take 0.6 MB at most.
+// maxDraining bounds the remembered draining incarnations, in two generations: the last 8,192
+// are always remembered, which is more than a fleet of 10,000 servers replaces in an hour of
+// rolling releases. They take at most 0.6 MB.
 const mostLeavers = 2 * 8192
 
-// leavers is a bounded memory of incarnations that leave. It outlives what is known of the
-// servers, whose entries may lapse and be written again while they end.
+// drainingSet is a bounded set of draining incarnations. It outlives the entries of the servers,
+// which may lapse and be written again while the servers shut down.
 type leavers struct {
 	recent, before map[uint64]bool
 }
 
-// has reports whether an incarnation is remembered.
+// has reports whether an incarnation is in the set.
 func (l *leavers) has(server uint64) bool { return l.recent[server] || l.before[server] }
 
-// add remembers an incarnation, and reports whether it was not.
+// add adds an incarnation, and reports whether it was absent.
 func (l *leavers) add(server uint64) bool {
 	if l.has(server) {
 		return false
--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -15,7 +15,7 @@
 func TestAServersWordThatItLeavesOutlivesItsEntry(t *testing.T) {
 	set := alike(2, begin)
 	require.Equal(t, Notice{Leaving: true}, set.Notice("i-0", Notice{Leaving: true}, begin))
-	require.Equal(t, Notice{}, set.Notice("i-0", Notice{Leaving: true}, begin), "it is news once")
+	require.Equal(t, Notice{}, set.Notice("i-0", Notice{Leaving: true}, begin), "reported as new only once")
 	require.True(t, candidate(set, "i-0", begin).Leaving)
 	require.False(t, candidate(set, "i-1", begin).Leaving)
 	require.False(t, set.Stays("i-0"))
@@ -23,7 +23,7 @@
 	later := begin.Add(2 * unlistedLife)
 	set.Update([]Server{{Instance: "i-1", Service: "s"}}, later)
 	set.Update([]Server{{Instance: "i-0", Service: "s"}, {Instance: "i-1", Service: "s"}}, later)
-	require.True(t, candidate(set, "i-0", later).Leaving, "its entry was forgotten and written again")
+	require.True(t, candidate(set, "i-0", later).Leaving, "its entry expired and was written again")
 	for _, known := range set.Servers(later) {
 		require.Equal(t, known.Instance == "i-0", known.Draining)
 	}
@@ -34,12 +34,12 @@
 	first.Notice("i-0", Notice{Leaving: true}, begin)
 	require.Equal(t, []Work{{Server: ServerKey("i-0"), Suspects: leavingSuspects}}, first.Work(begin))
 	require.Equal(t, []string{"i-0"}, second.TakeWork(first.Work(begin), begin))
-	require.Empty(t, second.TakeWork(first.Work(begin), begin), "it is news once")
-	require.True(t, candidate(second, "i-0", begin.Add(time.Hour)).Leaving, "nobody takes it back")
-	require.Empty(t, second.Work(begin), "only who has heard it itself tells it")
+	require.Empty(t, second.TakeWork(first.Work(begin), begin), "reported as new only once")
+	require.True(t, candidate(second, "i-0", begin.Add(time.Hour)).Leaving, "draining is final")
+	require.Empty(t, second.Work(begin), "only nodes that the server told directly report it")
 	require.Empty(t, second.TakeWork([]Work{{Server: ServerKey("i-9"), Suspects: leavingSuspects + 3}}, begin))
 	second.Update([]Server{{Instance: "i-9", Service: "s"}}, begin)
-	require.True(t, candidate(second, "i-9", begin).Leaving, "it was told before the list named it")
+	require.True(t, candidate(second, "i-9", begin).Leaving, "reported before the list included the server")
 }
 
 func TestLeaversAreRememberedWithinBounds(t *testing.T) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// A server that has asked for rest gets nothing until it is over, by whatever it answers
-// meanwhile; then one request, and more as it admits them, up to any number.
+// A server that requested a backoff gets no requests until its end, whatever it answers
+// meanwhile. Then slow start admits one request, and more as they succeed, up to no limit.
 func TestARestIsKeptAndRequestsComeBackStepByStep(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		set := alike(1, begin)
@@ -65,7 +65,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			c := candidate(set, "i-0", now)
-			require.Equal(t, now.Before(asked), c.RestLeft > 0 && now.Before(asked), "a rest is kept")
+			require.Equal(t, now.Before(asked), c.RestLeft > 0 && now.Before(asked), "backoff is honored")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
@@ -88,7 +88,8 @@
 		for _, attempt := range open {
 			attempt.End(exchange.ResultNeutral, now)
 		}
-		// Whatever was, it serves any number again if it admits what comes.
+		// Whatever happened before, the window becomes unlimited again once the server admits
+		// requests.
 		set.Notice("i-0", Notice{Rest: time.Second}, now)
 		now = now.Add(longestRest + mostSpread)
 		most := 0
@@ -100,7 +101,7 @@
 				}
 			}
 			if 2*most < unknownSlots {
-				require.LessOrEqual(t, len(sent), max(1, 2*most), "at most twice as many as were admitted")
+				require.LessOrEqual(t, len(sent), max(1, 2*most), "the window at most doubles per round")
 			}
 			most = len(sent)
 			for _, attempt := range sent {
@@ -117,14 +118,14 @@
 	stream := send(set, "i-0", 0, begin)
 	set.Notice("i-0", Notice{Rest: time.Second}, begin)
 	after := begin.Add(2 * time.Second)
-	require.False(t, candidate(set, "i-0", after).Busy, "it began before the rest")
+	require.False(t, candidate(set, "i-0", after).Busy, "the stream began before the backoff and does not count")
 	trial := send(set, "i-0", 0, after)
 	require.True(t, candidate(set, "i-0", after).Busy)
 	trial.Started(after)
-	require.False(t, candidate(set, "i-0", after).Busy, "the server works on the first")
+	require.False(t, candidate(set, "i-0", after).Busy, "admitting the first request widens the window")
 	set.Notice("i-0", Notice{Rest: time.Second}, after)
 	after = after.Add(2 * time.Second)
-	require.False(t, candidate(set, "i-0", after).Busy, "what tried it before the second rest counts no more")
+	require.False(t, candidate(set, "i-0", after).Busy, "requests of the former round do not count")
 	stream.End(exchange.ResultServed, after)
 	trial.End(exchange.ResultServed, after)
 	require.False(t, candidate(set, "i-0", after).Busy)
@@ -138,10 +139,9 @@
 	require.Zero(t, candidate(set, "i-0", begin.Add(longestRest+mostSpread)).RestLeft)
 }
 
-// Load pattern: a service that is short of room turns all nodes away in the same moment, and
-// all of them have more requests waiting than its slots. With the rest alone, the end of it is
-// a herd: as many requests at once as wait at all nodes. The bound is one for each node that
-// the spread brings back within one answer's time, and what a server admits.
+// Guards against a thundering herd after an overloaded service has refused all nodes at the same
+// moment, each with more waiting requests than the server has slots. The bound is one request
+// for each node that jitter brings back within one response time.
 func TestNodesDoNotComeBackAsAHerd(t *testing.T) {
 	const (
 		nodes   = 200
@@ -179,7 +179,7 @@
 		}
 		most = max(most, len(running))
 	}
-	// 35 were measured; 3,800 without the steps, and 400 without the spread.
+	// Peak: 35 requests; 3,800 without slow start, and 400 without jitter.
 	require.LessOrEqual(t, most, nodes*int(answer+2*step)/int(spread), fmt.Sprint(served, " served"))
 	require.Positive(t, served)
 }
--- a/internal/backend/packed.go
+++ b/internal/backend/packed.go
@@ -7,26 +7,27 @@
 	"github.com/juju/errors"
 )
 
-// Packed is a list of servers as nodes tell it to each other. What many servers have in
-// common is told once: a server takes some 40 bytes, a third of what its fields would.
-// Servers that are unpacked share it, too.
+// Packed is a server list in the form in which nodes exchange it. Properties that servers have
+// in common are encoded once, so that a server takes some 40 bytes, a third of its plain
+// encoding. Unpacked servers share them in memory too.
 type Packed struct {
-	// Kinds are the servers without what tells them apart.
+	// Kinds holds the distinct combinations of shared properties; the fields specific to one server
+	// are zero.
 	Kinds []Server
-	// The others have an element for each server: its kind, and the rest.
+	// The remaining slices have one element per server. Kind is an index into Kinds.
 	Kind     []int
 	Instance []string
 	Address  []string
 	Revision []int64
 	Created  []int64
-	// Born is empty if no server tells it.
+	// Born is empty if no server reports its start time.
 	Born []int64
 }
 
-// errPacked says that a list does not hold together.
-var errPacked = errors.New("the list of servers cannot be read; run the same version on all nodes")
+// errInconsistentList is returned by Unpack for a malformed list.
+var errPacked = errors.New("malformed server list from another node: run the same version on all nodes")
 
-// Pack packs a list.
+// Pack encodes a list.
 func Pack(list []Server) Packed {
 	p := Packed{}
 	if len(list) == 0 {
@@ -47,14 +48,14 @@
 	return p
 }
 
-// kindKey is what kinds of servers are looked up by.
+// kindKey indexes kinds by all shared properties but the model versions.
 type kindKey struct {
 	service, zone string
 	slots         int
 	draining      bool
 }
 
-// kindOf returns the index of a server's kind, which is added if it is new.
+// kindOf returns the index of the kind of a server, adding the kind if it is new.
 func (p *Packed) kindOf(server Server, kinds map[kindKey][]int) int {
 	key := kindKey{service: server.Service, zone: server.Zone, slots: server.Slots, draining: server.Draining}
 	for _, kind := range kinds[key] {
@@ -68,10 +69,10 @@
 	return len(p.Kinds) - 1
 }
 
-// Empty reports whether the list holds no server.
+// Empty reports whether the list has no servers.
 func (p Packed) Empty() bool { return len(p.Kind) == 0 }
 
-// Unpack returns the list, or an error if it does not hold together.
+// Unpack decodes the list. It returns an error if the list is malformed.
 func (p Packed) Unpack() ([]Server, error) {
 	n := len(p.Kind)
 	if len(p.Instance) != n || len(p.Address) != n || len(p.Revision) != n || len(p.Created) != n || p.Born != nil && len(p.Born) != n {
--- a/internal/backend/packed_test.go
+++ b/internal/backend/packed_test.go
@@ -40,14 +40,14 @@
 func TestAListThatDoesNotHoldTogetherIsRefusedWhole(t *testing.T) {
 	good := Pack([]Server{{Instance: "i-1"}, {Instance: "i-2"}})
 	for name, harm := range map[string]func(p *Packed){
-		"an address is missing":       func(p *Packed) { p.Address = p.Address[:1] },
-		"an instance is missing":      func(p *Packed) { p.Instance = nil },
-		"a revision is missing":       func(p *Packed) { p.Revision = p.Revision[:1] },
-		"a creation is missing":       func(p *Packed) { p.Created = p.Created[:1] },
-		"a kind that there is not":    func(p *Packed) { p.Kind = []int{0, 1} },
-		"a kind that there cannot be": func(p *Packed) { p.Kind = []int{0, -1} },
-		"no kinds":                    func(p *Packed) { p.Kinds = nil },
-		"more instances than servers": func(p *Packed) { p.Instance = append([]string{"i-0"}, p.Instance...) },
+		"an address is missing":          func(p *Packed) { p.Address = p.Address[:1] },
+		"an instance is missing":         func(p *Packed) { p.Instance = nil },
+		"a revision is missing":          func(p *Packed) { p.Revision = p.Revision[:1] },
+		"a creation revision is missing": func(p *Packed) { p.Created = p.Created[:1] },
+		"a kind out of range":            func(p *Packed) { p.Kind = []int{0, 1} },
+		"a negative kind":                func(p *Packed) { p.Kind = []int{0, -1} },
+		"no kinds":                       func(p *Packed) { p.Kinds = nil },
+		"more instances than servers":    func(p *Packed) { p.Instance = append([]string{"i-0"}, p.Instance...) },
 	} {
 		harmed := good
 		harm(&harmed)
@@ -57,7 +57,8 @@
 	}
 }
 
-// A fleet of 10,000 servers is told in few bytes: all nodes that start at once are told it.
+// Guards against a large encoding: the list of 10,000 servers is sent to all nodes that start at
+// once.
 func TestAListIsToldInFewBytes(t *testing.T) {
 	const servers, mostEach = 10_000, 48
 	var list []Server
@@ -69,6 +70,6 @@
 	}
 	encoded := bytes.Buffer{}
 	require.NoError(t, gob.NewEncoder(&encoded).Encode(Pack(list)))
-	t.Logf("%d bytes a server", encoded.Len()/servers)
+	t.Logf("%d bytes per server", encoded.Len()/servers)
 	require.LessOrEqual(t, encoded.Len()/servers, mostEach)
 }
--- a/internal/backend/ring.go
+++ b/internal/backend/ring.go
@@ -6,20 +6,20 @@
 	"sort"
 )
 
-// ring is the servers of one service in the order of their keys, which are hashes of their
-// instances. The servers that follow a point are a sample that all nodes draw alike, and
-// that changes by one where one server comes or goes.
+// ring holds the servers of one service, ordered by key, a hash of the incarnation name. The
+// servers that follow a point form a sample that is the same on all nodes and changes by at most
+// one server when one is added or removed.
 type ring []*state
 
-// after returns the index of the first server whose key is not below a point; it may be the
-// length of the ring, from where it goes on at the beginning.
+// search returns the index of the first server whose key is not below a point, or len(r) if
+// there is none; the ring then continues at index 0.
 func (r ring) after(point uint64) int {
 	return sort.Search(len(r), func(i int) bool { return r[i].key >= point })
 }
 
 func byKey(a, b *state) int { return cmp.Compare(a.key, b.key) }
 
-// join puts new servers into the rings of their services.
+// addToRings adds servers to the rings of their services.
 func (set *Set) join(joined []*state) {
 	changed := map[string]bool{}
 	for _, known := range joined {
@@ -32,7 +32,7 @@
 	}
 }
 
-// part takes servers out of the rings of their services.
+// removeFromRings removes servers from the rings of their services.
 func (set *Set) part(left []*state) {
 	if len(left) == 0 {
 		return
--- a/internal/backend/ring_test.go
+++ b/internal/backend/ring_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// names returns the instances of the servers near a point.
+// subsetNames returns the names of the servers that follow a point on the ring.
 func names(set *Set, near uint64, most int) []string {
 	query := Query{Service: "s", Distance: func(string) int { return 0 }, Near: near, Most: most}
 	var all []string
@@ -23,8 +23,8 @@
 	return all
 }
 
-// All nodes find the same servers near a point, whatever each has heard of them in which
-// order, and a server that comes or goes changes at most one of them.
+// All nodes select the same subset for a point, in whatever order they learned of the servers,
+// and adding or removing a server changes at most one member.
 func TestAllNodesFindTheSameServersNearAPoint(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
@@ -41,7 +41,7 @@
 		before := names(one, near, most)
 		require.Equal(t, before, names(other, near, most))
 		require.Len(t, before, min(most, servers))
-		require.ElementsMatch(t, names(one, near, 0), names(other, 0, 0), "without a bound, all are found")
+		require.ElementsMatch(t, names(one, near, 0), names(other, 0, 0), "all servers without a limit")
 		if servers == 1 {
 			return
 		}
@@ -56,23 +56,24 @@
 		require.GreaterOrEqual(t, kept, len(before)-1)
 		require.NotContains(t, names(one, near, most), left)
 		one.Apply(nil, nil, begin.Add(unlistedLife+time.Second))
-		require.Len(t, one.servers, servers-1, "it is forgotten")
+		require.Len(t, one.servers, servers-1, "removed after the retention")
 		require.Len(t, one.rings["s"], servers-1)
 		require.Len(t, one.byKey, servers-1)
 	})
 }
 
-// What a node has had to do with servers is kept for those alone.
+// Guards against local state being allocated for servers that the node has not contacted.
 func TestANodeRemembersItsDealingsWithFewServers(t *testing.T) {
 	set := alike(100, begin)
 	send(set, "i-3", 10, begin)
 	set.Gone("i-4", begin)
 	require.Len(t, set.dealt, 2)
 	require.Equal(t, []Work{{Server: ServerKey("i-3"), Running: 1, QueuedTokens: 10}}, set.Work(begin))
-	require.Zero(t, none, "what is shared is not changed")
+	require.Zero(t, none, "the shared empty state is not modified")
 }
 
-// Of more engines than are wanted, those that were used of late are returned and counted.
+// If there are more engines than the limit, only the recently used ones are returned and
+// counted.
 func TestOfManyEnginesThoseInUseAreReturned(t *testing.T) {
 	set := NewSet()
 	var list []Server
@@ -94,8 +95,8 @@
 	check(20, 20, begin.Add(2*time.Minute))
 }
 
-// The memory of a set grows by at most so many bytes a server, since hundreds of nodes keep
-// thousands of servers of which they use few.
+// Bounds the memory per server: each of hundreds of nodes keeps thousands of servers, of which
+// it uses few.
 func TestASetOfManyServersIsSmall(t *testing.T) {
 	const servers, mostEach = 10_000, 320
 	var list []Server
@@ -108,12 +109,12 @@
 	set := NewSet()
 	set.Update(list, begin)
 	each := (heap() - before) / servers
-	t.Logf("%d bytes a server", each)
+	t.Logf("%d bytes per server", each)
 	require.LessOrEqual(t, each, uint64(mostEach))
 	runtime.KeepAlive(set)
 }
 
-// heap is the bytes in use.
+// heapInUse returns the bytes of allocated heap objects after garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -5,28 +5,29 @@
 	"strconv"
 )
 
-// Server is one incarnation of a server, as it tells of itself.
+// Server describes one incarnation of a server, as registered in the server list.
 type Server struct {
-	// Instance is its id, and Born the Unix millisecond of its start, or 0 if it does not tell
-	// it: another incarnation may start under the same id. See Incarnation.
+	// Instance is the instance ID. Born is the start time in Unix milliseconds, or 0 if not
+	// reported. A restarted process may reuse the instance ID, so Incarnation combines both.
 	Instance string
 	Born     int64
 	Service  string
 	Address  string
 	Zone     string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests the server runs concurrently; 0 if unknown.
 	Slots    int
 	Draining bool
-	// Versions is the loaded version of each model. It is not changed once it is set:
-	// a change makes a copy. Servers may share it.
+	// Versions maps each model to its loaded version. The map is copy-on-write and may be shared
+	// between Servers, so it must not be modified in place.
 	Versions map[string]int64
-	// Revision is the shared store's at which this was written, and Created that at which the
-	// server came into the list; 0 says that it is not known.
+	// Revision is the store revision at which the entry was last written, and Created the revision
+	// at which it was created; 0 if unknown.
 	Revision int64
 	Created  int64
 }
 
-// Incarnation names one life of a server.
+// Incarnation returns the name of this incarnation: the instance ID, with the start time
+// appended if known.
 func (server Server) Incarnation() string {
 	if server.Born == 0 {
 		return server.Instance
@@ -34,8 +35,8 @@
 	return server.Instance + "@" + strconv.FormatInt(server.Born, 10)
 }
 
-// Equal reports whether two descriptions say the same, whenever they were written. A server
-// that left the list and came back is another one in this.
+// Equal reports whether two descriptions match, ignoring Revision. Created is compared, so a
+// server that was removed from the list and registered again is not equal to its former entry.
 func (server Server) Equal(other Server) bool {
 	return server.Instance == other.Instance && server.Born == other.Born && server.Service == other.Service && server.Address == other.Address &&
 		server.Zone == other.Zone && server.Slots == other.Slots && server.Draining == other.Draining && server.Created == other.Created &&
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -1,6 +1,6 @@
-// Package backend keeps what a node believes of the servers of opaque services:
-// which there are, what weights they hold, this node's own work on them, and
-// how they have treated it.
+// Package backend tracks the servers of proxied services as seen by one node: which servers
+// exist, which model versions they have loaded, how much work this and other nodes run on them,
+// and how recent attempts on them have fared.
 package backend
 
 import (
@@ -12,55 +12,53 @@
 )
 
 const (
-	// refusalRest is how long a server that refused is passed over while others
-	// have room. It is about the time in which a full queue moves on.
+	// refusalBackoff is how long a server that refused a request is skipped while others have
+	// capacity: about the time in which a full queue advances.
 	refusalRest = 100 * time.Millisecond
-	// failureHalfLife is the time in which an observed failure loses half of its
-	// weight.
+	// failureHalfLife is the half-life of an observed failure in the failure rate.
 	failureHalfLife = 3 * time.Second
-	// unlistedLife is how long a server that vanished from the list is still used
-	// if no other is there. The list loses entries while its store is down.
+	// unlistedRetention is how long a server that was removed from the list remains usable as a
+	// last resort. The list loses entries while the store is down.
 	unlistedLife = 15 * time.Second
-	// goneLife is how long a server is passed over after another incarnation answered
-	// in its place. By then the list does not name it any more; if it does, the answer
-	// was wrong.
+	// replacedRetention is how long a server is excluded after another incarnation answered at its
+	// address. By then its entry has lapsed from the list; if it is still listed, the answer was
+	// wrong.
 	goneLife = 10 * time.Second
 )
 
 var (
-	// unreachedBreaker rests a server at the first connection that does not come up. Most
-	// such servers are gone: they start again under another name. The rest is longer than
-	// the way of a suspicion through the fleet, three questions, so that all nodes share
-	// it while it lasts.
+	// connectBreaker opens on the first failed connection, since most such servers are gone and
+	// restart under another name. The open interval exceeds the time a suspicion needs to reach all
+	// nodes, three polls, so that all nodes share it while it lasts.
 	unreachedBreaker = retry.BreakerConfig{Failures: 1, Rest: 1500 * time.Millisecond, MaximumRest: 4 * time.Second}
-	// brokenBreaker rests a server that fails again and again.
+	// responseBreaker opens after repeated failures of requests on established connections.
 	brokenBreaker = retry.BreakerConfig{Failures: 3, Rest: 400 * time.Millisecond, MaximumRest: 4 * time.Second}
 )
 
-// Set holds all servers. It is safe for concurrent use.
+// Set holds all known servers. It is safe for concurrent use.
 type Set struct {
 	mutex sync.Mutex
-	// servers holds the states by incarnation, and lives that of the latest incarnation of
-	// each id.
+	// servers maps incarnation names to entries, and latest maps each instance ID to its latest
+	// incarnation.
 	servers map[string]*state
 	lives   map[string]*state
-	// rings holds the servers of each service in the order of their keys.
+	// rings holds the servers of each service, ordered by key.
 	rings map[string]ring
 	byKey map[uint64]*state
-	// unlisted holds the servers that have vanished from the list, dealt those that this
-	// node has had to do with, and told those at which others have work under way: a node
-	// has to do with few of all servers.
+	// unlisted holds the servers that have been removed from the list, withLocalState those that
+	// this node has contacted, and withPeerWork those on which other nodes report work. The
+	// separate indexes avoid scanning all servers, since a node contacts only a few of them.
 	unlisted map[*state]bool
 	dealt    map[*state]bool
 	told     []*state
-	// used holds the servers at which any node had work of late.
+	// recentlyUsed holds the servers on which any node recently had work.
 	used map[*state]bool
-	// leavers holds the incarnations that have said that they leave.
+	// drainingServers holds the incarnations that have announced that they are shutting down.
 	leavers leavers
-	// draw returns a random number from 0 to 1.
+	// random returns a random number from 0 to 1.
 	draw func() float64
-	// othersUntil is how long what other nodes told of their work counts, and loadingUntil
-	// what the holder of the roll-out told of loads.
+	// peerWorkUntil is when the work reported by other nodes expires, and loadingUntil when the
+	// loading state reported by the rollout holder expires.
 	othersUntil  time.Time
 	loading      []*state
 	loadingUntil time.Time
@@ -68,46 +66,47 @@
 
 type state struct {
 	server *Server
-	// name is that of its incarnation, and key its ServerKey.
+	// name is the incarnation name, and key its ServerKey.
 	name string
 	key  uint64
-	// others is what other nodes have under way.
+	// peerWork is the work that other nodes have in flight on the server.
 	others Work
-	// listed is false once the server has vanished from the list.
+	// listed is false once the server has been removed from the list, at unlistedAt.
 	listed     bool
 	unlistedAt time.Time
-	// leaves says that the server has said that it leaves, to this node or another one.
+	// draining is set once the server has announced to any node that it is shutting down.
 	leaves bool
-	// load is the move that it is making, or nil.
+	// load is the model load in progress, or nil.
 	load *Load
-	// usedAt is when a node was last known to have work there.
+	// lastUsedAt is when any node was last known to have work on the server.
 	usedAt time.Time
-	// dealings is nil until this node has had to do with the server.
+	// localState is nil until this node has contacted the server.
 	*dealings
 }
 
-// dealings is what this node has had to do with one server. It is most of what is known of
-// one, and there for few.
+// localState is what this node has observed of one server first-hand. It makes up most of the
+// memory of an entry and is allocated only for the few servers that the node contacts.
 type dealings struct {
-	// goneUntil is how long the word counts that another incarnation answers in its
-	// place.
+	// replacedUntil is until when the server is excluded because another incarnation answered at
+	// its address.
 	goneUntil time.Time
 	inFlight  int
-	// deferred counts those of them that let others go first and have not started.
+	// deferred counts the attempts in flight that yield to all others and have not started.
 	deferred int
-	// heardAt is when the server last answered anything, and answeredSent when the latest
-	// attempt was sent that it has answered.
+	// lastResponseAt is when the server last responded to any attempt, and lastAnsweredSentAt the
+	// send time of the most recently sent attempt that it answered.
 	heardAt      time.Time
 	answeredSent time.Time
-	// unreachedAt is when a connection to it failed last to come up.
+	// lastConnectFailureAt is when a connection to the server last failed to establish.
 	unreachedAt  time.Time
 	queuedTokens int
 	busyUntil    time.Time
 	rest         rest
-	// saidLeaving says that the server has told this node that it leaves.
+	// drainingAnnounced reports that the server told this node directly that it is shutting down.
 	saidLeaving bool
 	breaker     retry.Breaker
-	// failures are attempts that failed, and refusals those that the server did not run.
+	// failures is the rate of attempts that failed, and refusals of those that the server declined
+	// to run.
 	failures failureShare
 	refusals failureShare
 }
@@ -121,7 +120,8 @@
 	}
 }
 
-// find returns the incarnation of a name, or the latest one of an id; nil if there is none.
+// lookup returns the entry of an incarnation name, or the latest incarnation of an instance ID;
+// nil if there is none.
 func (set *Set) find(name string) *state {
 	if known := set.servers[name]; known != nil {
 		return known
@@ -129,14 +129,14 @@
 	return set.lives[name]
 }
 
-// Change is one difference between two lists, for the log.
+// Change is one difference between two server lists, for logging.
 type Change struct {
 	Server Server
-	// Gone says that the server has vanished from the list.
+	// Gone reports that the server was removed from the list.
 	Gone bool
 }
 
-// Update takes a whole list of servers, and returns what is new in it.
+// Update replaces the server list and returns the changes.
 func (set *Set) Update(list []Server, now time.Time) []Change {
 	seen := make(map[string]bool, len(list))
 	changed := make([]*Server, len(list))
@@ -155,9 +155,8 @@
 	return set.Apply(changed, gone, now)
 }
 
-// Apply takes servers that are new or have changed, and the instances of those that have
-// vanished from the list. It returns what is new, and keeps the servers, which must not be
-// changed any more.
+// Apply adds or updates the changed servers, and unlists the instances in gone. It returns the
+// changes. It retains the servers, which the caller must not modify afterwards.
 func (set *Set) Apply(changed []*Server, gone []string, now time.Time) []Change {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -168,7 +167,7 @@
 		known, found := set.servers[name]
 		if before := set.lives[server.Instance]; !found && before != nil {
 			if server.Born < before.server.Born {
-				// A word of a life that is over, which came late.
+				// A delayed update of a former incarnation.
 				continue
 			}
 			changes = append(changes, set.unlist(before, now)...)
@@ -197,15 +196,17 @@
 	return changes
 }
 
-// Begun takes that another incarnation of a server began, as its own answer shows, with the
-// weights that it has. The list will name it later.
+// ObserveRestart records that the server has restarted as a new incarnation, as its own answer
+// shows, with the model versions that it reports. The list will include the new incarnation
+// later.
 func (set *Set) Begun(former Server, born int64, versions map[string]int64, now time.Time) []Change {
 	next := former
 	next.Born, next.Versions, next.Draining = born, versions, false
 	return set.Apply([]*Server{&next}, nil, now)
 }
 
-// unlist notes that a server has vanished from the list, and returns that if it is new.
+// markUnlisted records that a server was removed from the list. It returns a change unless that
+// was known.
 func (set *Set) unlist(known *state, now time.Time) []Change {
 	if !known.listed {
 		return nil
@@ -215,7 +216,8 @@
 	return []Change{{Server: *known.server, Gone: true}}
 }
 
-// forget drops the servers that vanished long ago and have nothing under way.
+// removeExpired removes servers that have been unlisted for longer than unlistedRetention and
+// have no attempts in flight.
 func (set *Set) forget(now time.Time) {
 	var left []*state
 	for known := range set.unlisted {
@@ -236,7 +238,7 @@
 	set.part(left)
 }
 
-// underWay counts this node's attempts at the server.
+// attempts returns the number of this node's attempts in flight on the server.
 func (state *state) underWay() int {
 	if state.dealings == nil {
 		return 0
@@ -244,8 +246,9 @@
 	return state.inFlight
 }
 
-// take follows the server's word of itself. The list lags behind what answers
-// have shown, and the weights of one incarnation only grow newer.
+// update replaces the description of the server. Model versions that its answers have already
+// shown are kept if newer: the list lags behind, and the versions of one incarnation never
+// decrease.
 func (state *state) take(server *Server) {
 	before := state.server
 	state.server, state.listed = server, true
@@ -257,8 +260,8 @@
 	}
 }
 
-// learn takes a version of a model's weights that the server has, unless it is known to
-// have a newer one. What it refused until then it may have refused since it was loading them.
+// observeVersion records a model version that the server has loaded, unless it is known to have
+// a newer one. It resets the refusal rate, since earlier refusals may have been due to loading.
 func (state *state) learn(model string, version int64) {
 	if state.server.Versions[model] >= version {
 		return
@@ -271,7 +274,8 @@
 	state.server = &server
 }
 
-// deal returns what this node has had to do with a server, for a change.
+// ensureLocalState returns the local state of a server for modification, allocating it if
+// necessary.
 func (set *Set) deal(known *state) *dealings {
 	if known.dealings == nil {
 		known.dealings = &dealings{}
@@ -280,10 +284,11 @@
 	return known.dealings
 }
 
-// none is what this node has had to do with servers that it never met. It is not changed.
+// emptyLocalState is the shared read-only state of servers that this node has not contacted. It
+// must not be modified.
 var none dealings
 
-// dealt returns what this node has had to do with the server, to be read only.
+// local returns the local state for reading only.
 func (state *state) dealt() *dealings {
 	if state.dealings == nil {
 		return &none
@@ -291,7 +296,7 @@
 	return state.dealings
 }
 
-// Servers returns the listed servers that are not known to be gone.
+// Servers returns the listed servers, without those that are known to be replaced.
 func (set *Set) Servers(now time.Time) []Server {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -306,7 +311,7 @@
 	return servers
 }
 
-// Stays reports whether a server is listed and has not said that it leaves.
+// InService reports whether a server is listed and not draining.
 func (set *Set) Stays(instance string) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -314,7 +319,7 @@
 	return known != nil && known.listed && !known.leaving()
 }
 
-// Listed reports whether a server, named by its ServerKey, stands in the list.
+// Listed reports whether the server with the given ServerKey is in the list.
 func (set *Set) Listed(server uint64) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -322,8 +327,9 @@
 	return known != nil && known.listed
 }
 
-// Ended reports whether there is a sign that a server has ended since a time: no connection to
-// it came up, another incarnation answered in its place, or it vanished from the list.
+// Ended reports whether there is evidence that a server has terminated since a given time: a
+// connection to it failed to establish, another incarnation answered at its address, or it was
+// removed from the list.
 func (set *Set) Ended(server uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -335,8 +341,8 @@
 	return !dealings.goneUntil.IsZero() || dealings.unreachedAt.After(since)
 }
 
-// Gone notes that another incarnation answered in a server's place. The list goes on
-// to name it until its entry lapses.
+// Gone records that another incarnation answered at the address of a server. The list still
+// includes the server until its entry lapses.
 func (set *Set) Gone(instance string, now time.Time) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -345,7 +351,7 @@
 	}
 }
 
-// Learn notes the weights that a server's own answer showed.
+// ObserveVersions records the model versions that a server's own answer has shown.
 func (set *Set) Learn(instance string, versions map[string]int64) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -22,7 +22,7 @@
 	return Server{Instance: instance, Service: "s", Zone: "a", Versions: map[string]int64{"m": 1}}
 }
 
-// only returns the one candidate of an instance.
+// candidateOf returns the candidate of an instance.
 func only(t require.TestingT, set *Set, query Query, now time.Time, instance string) routing.Candidate {
 	for _, candidate := range set.Candidates(nil, query, now) {
 		if candidate.Endpoint == instance {
@@ -40,7 +40,7 @@
 	require.Equal(t, []Change{{Server: server("x"), Gone: true}}, changes)
 	require.Len(t, set.Candidates(nil, query, begin), 1)
 	set.Update(nil, begin)
-	require.Len(t, set.Candidates(nil, query, begin), 2, "the list may have lost them")
+	require.Len(t, set.Candidates(nil, query, begin), 2, "the list may have lost its entries")
 	set.Update(nil, begin.Add(unlistedLife+time.Second))
 	require.Empty(t, set.Candidates(nil, query, begin))
 }
@@ -52,7 +52,7 @@
 	set.Update([]Server{leaving}, begin)
 	require.True(t, only(t, set, query, begin, "x").Leaving)
 	set.Update(nil, begin)
-	require.Empty(t, set.Candidates(nil, query, begin), "not even when it has vanished")
+	require.Empty(t, set.Candidates(nil, query, begin), "not even as a last resort once unlisted")
 }
 
 func TestWeightsOnlyGrowNewer(t *testing.T) {
@@ -84,15 +84,15 @@
 	set.Load(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
 	require.False(t, only(t, set, query, begin, "x").Ready)
 	require.True(t, only(t, set, query, begin, "y").Ready)
-	require.True(t, only(t, set, query, begin.Add(loadingLife), "x").Ready, "whoever said so may be gone")
+	require.True(t, only(t, set, query, begin.Add(loadingLife), "x").Ready, "the rollout holder may be gone")
 	set.Learn("x", map[string]int64{"m": 2})
 	require.True(t, only(t, set, query, begin, "x").Ready)
 	set.Load(Loads{Loading: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
 	set.Load(Loads{Loaded: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
 	require.True(t, only(t, set, query, begin, "y").Ready)
-	require.Equal(t, int64(2), only(t, set, query, begin, "y").Version, "known at once, not only from the list")
+	require.Equal(t, int64(2), only(t, set, query, begin, "y").Version, "known before the list is updated")
 	set.Load(Loads{Loading: []Load{{Instance: "y", Model: "other", Version: 9}}}, begin)
-	require.True(t, only(t, set, query, begin, "y").Ready, "another model is no concern")
+	require.True(t, only(t, set, query, begin, "y").Ready, "loading another model does not matter")
 }
 
 func TestWorkInFlightIsCountedExactly(t *testing.T) {
@@ -136,7 +136,7 @@
 	probe := send(set, "x", 0, later)
 	require.True(t, only(t, set, query, later, "x").Resting, "one probe at a time")
 	probe.End(exchange.ResultNeutral, later)
-	require.False(t, only(t, set, query, later, "x").Resting, "the probe said nothing")
+	require.False(t, only(t, set, query, later, "x").Resting, "the probe was inconclusive")
 	send(set, "x", 0, later).End(exchange.ResultServed, later)
 	require.False(t, only(t, set, query, later, "x").Resting)
 }
@@ -153,7 +153,7 @@
 	require.Less(t, only(t, set, query, begin.Add(failureHalfLife), "x").FailureShare, fresh)
 }
 
-// Guards against servers that shed requests being chosen as often as those that take them.
+// Guards against shedding servers being selected as often as those that accept requests.
 func TestAServerThatRefusesIsChosenLessOften(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{server("x")}, begin)
@@ -169,7 +169,7 @@
 	for range 3 {
 		send(set, "x", 0, begin).End(exchange.ResultServed, begin)
 	}
-	require.Less(t, share(begin), refused, "it takes requests again")
+	require.Less(t, share(begin), refused, "accepted requests lower the rate")
 	require.Less(t, share(begin.Add(failureHalfLife)), share(begin))
 	send(set, "x", 0, begin).End(exchange.ResultFaulty, begin)
 	require.Greater(t, share(begin), refused/2)
@@ -179,13 +179,13 @@
 	before := share(later)
 	set.Notice("x", Notice{Rest: time.Second}, later)
 	refuse(later)
-	require.Equal(t, before, share(later), "a server that says when to come back is used again then")
+	require.Equal(t, before, share(later), "refusals during a backoff do not count")
 
 	later = later.Add(time.Minute)
 	refuse(later)
 	require.Positive(t, share(later))
 	set.Learn("x", map[string]int64{"m": 2})
-	require.Less(t, share(later), 0.01, "it was loading")
+	require.Less(t, share(later), 0.01, "a new version resets the refusals")
 }
 
 func TestAnAnswerToAnyoneShowsThatAServerLives(t *testing.T) {
@@ -213,17 +213,17 @@
 		return names
 	}
 	set.Update(list, now.Add(time.Second))
-	require.Equal(t, []string{"other"}, names(now.Add(time.Second)), "the list lags")
+	require.Equal(t, []string{"other"}, names(now.Add(time.Second)), "the list lags behind")
 	require.Len(t, set.Servers(now.Add(time.Second)), 1)
-	require.Len(t, names(now.Add(goneLife)), 2, "one wrong answer condemns nobody for ever")
+	require.Len(t, names(now.Add(goneLife)), 2, "a wrong answer does not exclude a server for good")
 
-	// A list that names only a replaced server is no reason to use one that has left it.
+	// A replaced server in the list does not make an unlisted one usable.
 	set.Update(list[:1], now.Add(time.Second))
 	require.Empty(t, names(now.Add(time.Second)))
 }
 
-// A load that waits for long runs takes longer than the word of it counts: while its
-// holder goes on to tell of it, the server gets no requests that it would reject.
+// Guards against requests to a server whose load takes longer than loadingTTL because it waits
+// for long runs: the loading state lasts while the holder renews it.
 func TestAServerLoadsForAsLongAsItIsTold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := NewSet()
@@ -239,10 +239,10 @@
 		require.True(t, loading())
 	}
 	now = now.Add(time.Millisecond)
-	require.False(t, loading(), "its holder may be lost")
+	require.False(t, loading(), "the rollout holder may be gone")
 }
 
-// An attempt that lets all others go first is no work that they wait for until it starts.
+// A deferred attempt does not count as work that delays others until it has started.
 func TestADeferredAttemptCountsFromItsStart(t *testing.T) {
 	set := NewSet()
 	set.Update([]Server{{Instance: "x", Service: "s", Slots: 4}}, begin)
--- a/internal/backend/refusal_test.go
+++ b/internal/backend/shedding_test.go
@@ -10,9 +10,9 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Load pattern: four of eleven servers shed seven requests in ten for half a minute, in fewer
-// requests than fill the others. Guards against requests that are refused beside servers that have
-// room: those that shed are tried now and then, by less than half of their even share.
+// Load pattern: four of eleven servers shed 70% of their requests for half a minute, at a load
+// that does not fill the others. Guards against refusals while other servers have capacity:
+// shedding servers are still tried now and then, at less than half of their even share.
 func TestServersThatShedGetLessThanTheirShare(t *testing.T) {
 	const (
 		servers, shedding = 11, 4
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	t.Logf("%d of %d requests went to servers that shed", toShedding, sent)
+	t.Logf("%d of %d requests went to shedding servers", toShedding, sent)
 	require.Less(t, float64(toShedding)/float64(sent), 0.5*shedding/servers)
-	require.Positive(t, toShedding, "they are tried again")
+	require.Positive(t, toShedding, "shedding servers are still tried")
 }
--- a/internal/backend/starts_test.go
+++ b/internal/backend/start_times_test.go
@@ -10,8 +10,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// Whatever the order in which entries come, change and go, a start is expected exactly while most
-// of those that are there tell one.
+// A start time is required exactly while a majority of the present entries report one, in
+// whatever order entries are added, changed and removed.
 func TestAStartIsExpectedWhereMostTellIt(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		starts, there := NewStarts(), map[string]bool{}
--- a/internal/backend/work.go
+++ b/internal/backend/work.go
@@ -6,43 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Work is what nodes have under way at one server.
+// Work is the work that one or more nodes have in flight on a server.
 type Work struct {
-	// Server is the ServerKey of the server's incarnation.
+	// Server is the ServerKey of the incarnation.
 	Server uint64
-	// Running counts the attempts in flight, and QueuedTokens the prompt tokens of
-	// those that have not begun to answer.
+	// Running is the number of attempts in flight, and QueuedTokens the prompt tokens of those that
+	// have not begun to answer.
 	Running      int
 	QueuedTokens int
-	// Suspects counts the nodes that let the server rest after failures. A node to which the
-	// server has said that it leaves counts as leavingSuspects.
+	// Suspects is the number of nodes whose breaker for the server is open. A node that the server
+	// has told that it is shutting down counts as drainingSuspects.
 	Suspects int
 }
 
-// leavingSuspects is more than any fleet has nodes. The word goes the way of suspicions since
-// that costs no byte, goes first where not all is told, and lets also builds that do not know
-// it pass the server over.
+// drainingSuspects marks a draining server in Work.Suspects; no fleet has as many nodes. Sharing
+// the field takes no extra bytes, is sent first where reports are truncated, and makes builds
+// that do not know the mark skip the server too.
 const leavingSuspects = 1 << 20
 
-// Leaving reports whether the server has said to a node that it leaves.
+// Draining reports whether the server has told any node that it is shutting down.
 func (w Work) Leaving() bool { return w.Suspects >= leavingSuspects }
 
-// ServerKey is the short name of a server's incarnation between nodes.
+// ServerKey returns the hash that identifies an incarnation in messages between nodes.
 func ServerKey(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
 const (
-	// workLife is how long the word of other nodes counts if it is not renewed.
+	// peerWorkTTL is how long work reported by other nodes counts unless renewed.
 	workLife = time.Second
-	// enoughSuspects is how many other nodes must let a server rest for this node to
-	// pass it over unseen. One alone may have lost its own way to the server.
+	// suspectQuorum is the number of other nodes that must suspect a server for this node to skip
+	// it without a failure of its own. A single node may have lost its own path to the server.
 	enoughSuspects = 2
-	// trustedShare is the share of its servers that a node may let rest before its
-	// suspicion says more about itself.
+	// maxSuspectedShare is the share of its servers above which the suspicions of a node are
+	// discarded: the node itself is then likely to be partitioned.
 	trustedShare = 1.0 / 3
 )
 
-// Work returns what this node has under way, without servers that it has nothing
-// to say about.
+// Work returns this node's work on all servers, without servers that have nothing to report.
 func (set *Set) Work(now time.Time) []Work {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -71,13 +70,14 @@
 	return all
 }
 
-// Use is what is under way at one server, by this node's knowledge of all nodes.
+// Use is the load on one server, over all nodes as far as known to this node.
 type Use struct {
 	Running      int
 	QueuedTokens int
 }
 
-// Less reports whether this is less work than other: fewer runs, or a shorter queue.
+// Less reports whether u is less load than other: fewer running attempts, or with equal numbers
+// fewer queued tokens.
 func (u Use) Less(other Use) bool {
 	if u.Running != other.Running {
 		return u.Running < other.Running
@@ -85,7 +85,7 @@
 	return u.QueuedTokens < other.QueuedTokens
 }
 
-// Uses returns what is under way at the servers, by incarnation.
+// Uses returns the load on all servers, by incarnation name.
 func (set *Set) Uses(now time.Time) map[string]Use {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -97,8 +97,8 @@
 	return uses
 }
 
-// TakeWork takes what all other nodes have under way, and returns the servers of which it is
-// news that they leave.
+// ApplyPeerWork replaces the work reported by all other nodes. It returns the servers that are
+// newly known to be draining.
 func (set *Set) TakeWork(others []Work, now time.Time) (leave []string) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -121,8 +121,8 @@
 	return leave
 }
 
-// othersAt returns what other nodes have under way at the server, as far as that
-// is known now.
+// peerWorkAt returns the work of other nodes on a server, or zero if the last report has
+// expired.
 func (set *Set) othersAt(s *state, now time.Time) Work {
 	if now.After(set.othersUntil) {
 		return Work{}
--- a/internal/backend/work_test.go
+++ b/internal/backend/work_test.go
@@ -11,7 +11,7 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// alike returns a set of n servers of one plain service.
+// newUniformSet returns a set of n servers of one service without models.
 func alike(n int, now time.Time) *Set {
 	set := NewSet()
 	list := []Server{}
@@ -41,16 +41,16 @@
 	require.Equal(t, []int{1, 5, 1000}, []int{seen.InFlight, seen.Running, seen.QueuedTokens})
 	require.Zero(t, candidate(set, "i-1", now).Running)
 	late := now.Add(workLife + 1)
-	require.Equal(t, 1, candidate(set, "i-0", late).Running, "nobody renewed it")
+	require.Equal(t, 1, candidate(set, "i-0", late).Running, "expired without renewal")
 	set.TakeWork(nil, now)
-	require.Equal(t, 1, candidate(set, "i-0", now).Running, "they have done it")
+	require.Equal(t, 1, candidate(set, "i-0", now).Running, "peers report no more work")
 }
 
 func TestAServerRestsWhenTwoOthersSaySo(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := alike(2, now)
 	set.TakeWork([]Work{{Server: ServerKey("i-0"), Suspects: 1}}, now)
-	require.False(t, candidate(set, "i-0", now).Resting, "one may have lost its own way there")
+	require.False(t, candidate(set, "i-0", now).Resting, "a single peer may have lost its own path")
 	set.TakeWork([]Work{{Server: ServerKey("i-0"), Suspects: 2}}, now)
 	require.True(t, candidate(set, "i-0", now).Resting)
 	require.False(t, candidate(set, "i-1", now).Resting)
