--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,7 +1,6 @@
-// Package retry keeps failing back ends from being buried: a budget bounds
-// repetitions to a share of first attempts, a breaker rests an endpoint that
-// keeps failing, and pauses are jittered. All state advances by the caller's
-// time alone.
+// Package retry protects failing backends from overload by retries: a budget bounds retries to a
+// share of first attempts, a circuit breaker suspends an endpoint that keeps failing, and delays
+// are jittered. All state advances only by the time that the caller passes in.
 package retry
 
 import (
@@ -11,29 +10,30 @@
 	"time"
 )
 
-// BudgetConfig sets how many retries first attempts earn.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
-	// Ratio of retries to first attempts, such as 0.1.
+	// Ratio is the number of retries earned per first attempt, such as 0.1.
 	Ratio float64
-	// PerSecond retries are earned without any traffic, so that a lone request
-	// may be retried.
+	// PerSecond is the number of retries earned per second without any traffic, so that a single
+	// request can be retried.
 	PerSecond float64
-	// Capacity bounds the retries saved up. SavedShare is the share of what the first
-	// attempts of a Window earn that may be saved up beside it.
+	// Capacity bounds the accumulated retries. It is raised by BurstShare times the retries that
+	// first attempts have earned within Window.
 	Capacity   float64
 	SavedShare float64
 	Window     time.Duration
 }
 
-// DefaultBudget permits one retry for five first attempts.
+// DefaultBudget permits one retry per five first attempts, plus two per second.
 var DefaultBudget = BudgetConfig{Ratio: 0.2, PerSecond: 2, Capacity: 20}
 
-// Budget is a token bucket that first attempts fill. It may be shared.
+// Budget is a token bucket that is filled by first attempts. It is safe for concurrent use.
 type Budget struct {
 	config BudgetConfig
 	mutex  sync.Mutex
 	tokens float64
-	// earned is what first attempts have earned of late: it is forgotten over a window.
+	// recentlyEarned is the number of retries earned by first attempts, decaying exponentially with
+	// time constant Window.
 	earned float64
 	last   time.Time
 }
@@ -43,7 +43,7 @@
 	return &Budget{config: config, tokens: config.Capacity, last: now}
 }
 
-// Deposit notes a first attempt.
+// Deposit records a first attempt.
 func (budget *Budget) Deposit(now time.Time) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -52,13 +52,12 @@
 	budget.tokens = math.Min(budget.capacity(), budget.tokens+budget.config.Ratio)
 }
 
-// capacity is how many retries may be saved up now.
+// capacity returns the current bound of accumulated retries.
 func (budget *Budget) capacity() float64 {
 	return budget.config.Capacity + budget.config.SavedShare*budget.earned
 }
 
-// Limit changes how many retries may be saved up, and how many are earned
-// without any traffic.
+// SetLimits changes the Capacity and PerSecond of the budget.
 func (budget *Budget) Limit(capacity, perSecond float64) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -66,14 +65,14 @@
 	budget.tokens = math.Min(budget.tokens, budget.capacity())
 }
 
-// Drain takes all that is saved up.
+// Drain empties the budget.
 func (budget *Budget) Drain() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.tokens, budget.earned = 0, 0
 }
 
-// Withdraw takes one retry and reports whether it was there.
+// Withdraw takes one retry from the budget and reports whether one was available.
 func (budget *Budget) Withdraw(now time.Time) bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -97,15 +96,15 @@
 	budget.last = now
 }
 
-// Withdrawer is one budget of several that a retry must pass.
+// Withdrawer is a retry budget.
 type Withdrawer interface {
 	Withdraw(now time.Time) bool
 }
 
-// All is passed only when every budget permits.
+// All combines budgets: a retry is permitted only if every budget permits it.
 type All []Withdrawer
 
-// Withdraw takes one retry from each budget, in order, up to the first refusal.
+// Withdraw takes one retry from each budget, in order, and stops at the first that has none.
 func (all All) Withdraw(now time.Time) bool {
 	for _, budget := range all {
 		if !budget.Withdraw(now) {
@@ -115,7 +114,7 @@
 	return true
 }
 
-// Jitter spreads a pause over half of it to one and a half of it.
+// Jitter returns a random delay between half and one and a half times the given one.
 func Jitter(pause time.Duration, random *rand.Rand) time.Duration {
 	return pause/2 + time.Duration(random.Int64N(int64(pause)+1))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -50,7 +50,7 @@
 			now = now.Add(rest)
 			require.True(t, breaker.Allows(now))
 			breaker.Sent(now)
-			require.False(t, breaker.Allows(now), "one attempt probes")
+			require.False(t, breaker.Allows(now), "only one attempt probes")
 			breaker.Failed(DefaultBreaker, now)
 			rest = min(2*rest, DefaultBreaker.MaximumRest)
 		}
@@ -59,7 +59,7 @@
 	})
 }
 
-// Guards against an endpoint that is lost for as long as its probe hangs.
+// Guards against an endpoint being excluded for as long as its probe hangs.
 func TestAProbeThatHangsIsFollowedByAnother(t *testing.T) {
 	now := time.Unix(0, 0)
 	breaker := &Breaker{}
@@ -81,17 +81,17 @@
 	for range DefaultBreaker.Failures {
 		breaker.Failed(DefaultBreaker, now)
 	}
-	require.True(t, breaker.Sent(now), "where nothing else is left, it is probed before the end of its rest")
+	require.True(t, breaker.Sent(now), "an attempt before the end of the open duration is the probe")
 	breaker.FailedBeside(DefaultBreaker, now)
-	require.True(t, breaker.Probing(now), "what failed beside the probe does not end it")
+	require.True(t, breaker.Probing(now), "the failure of another attempt does not end the probe")
 	breaker.Answered()
 	require.True(t, breaker.Allows(now))
 	breaker.Failed(DefaultBreaker, now)
 	require.False(t, breaker.Allows(now))
 }
 
-// Guards against a look at what is left that is apart from its withdrawal: of many at one moment,
-// one passes for each token.
+// Guards against a check of the remaining tokens that is separate from their withdrawal: of many
+// concurrent withdrawals, exactly one succeeds per token.
 func TestABudgetIsWithdrawnOnceForEachToken(t *testing.T) {
 	now := time.Unix(0, 0)
 	const tokens = 10
