--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,20 +1,20 @@
-// Package quarantine remembers what requests have done to servers, across their tries and
-// over the whole fleet, and says which requests are held off.
+// Package quarantine detects requests that crash the servers that run them, and rejects
+// further attempts of such requests on any node of the fleet. Logs and metrics call a
+// quarantined request "held off".
 //
-// A request may end each server that begins to run it. A caller that comes again, at any
-// node, is a new request to all else: only its Fingerprint says that it is the same. A
-// server that ends takes all that it ran with it, and servers end for other reasons too,
-// so that one end is no proof against any request:
+// Each retry by a caller is a new request to all other parts of a node; only its Fingerprint
+// identifies it as the same. A crash affects all requests on the server, and servers crash for
+// other reasons too, so a single crash does not incriminate any of them:
 //
-//   - What raises a suspicion is a connection that the server closed before its whole
-//     answer, if the server has answered nothing sent later. It names the request and the
-//     server's incarnation.
-//   - What holds a request off is the end of enoughEnds servers. One at which another
-//     request ran that has ended more servers than this one counts for half.
-//   - What clears it is one whole answer, at any node, for servedLife; a server that has
-//     answered since; and time.
+//   - A suspicion is raised when a server closes a connection before its complete response and
+//     has answered nothing that was sent later. It consists of the request and the incarnation
+//     of the server.
+//   - A request is quarantined after crashThreshold server crashes. A crash counts for half if
+//     another request ran on the server that has at least as many crashes.
+//   - A complete response at any node clears the request for servedTTL. A crash is discounted
+//     once the server has answered since, and expires after crashTTL.
 //
-// Ledger is pure: it takes facts and a time. Nodes pass facts on with what else they tell
-// each other; Keeper writes what is held off into the shared store, for a fleet of which
-// all nodes are replaced at once.
+// Ledger is deterministic: it depends only on the observations and times passed to it. Nodes
+// exchange observations along with their other state. Persister writes the quarantine to the
+// shared store, so that it survives the simultaneous replacement of all nodes.
 package quarantine
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -9,11 +9,11 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// Two requests have the same fingerprint if and only if caller, method, host, target and
-// body are the same.
+// Two requests have the same fingerprint if and only if caller, method, host, target and body
+// are equal.
 func TestAFingerprintTellsRequestsApart(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
-		// Few letters make parts that run into each other likely.
+		// A small alphabet makes ambiguous concatenations likely.
 		word := rapid.StringMatching(`[ab/]{0,3}`)
 		draw := func(label string) Identity {
 			return Identity{
--- a/internal/quarantine/item.go
+++ b/internal/quarantine/item.go
@@ -6,52 +6,53 @@
 	"time"
 )
 
-// Kind is what an item tells.
+// Kind is the kind of an observation.
 type Kind uint8
 
 const (
-	// Ended says that a server ended while it ran the request.
+	// KindCrashed is a server crash while the server ran the request.
 	Ended Kind = iota + 1
-	// Served says that the request had a whole answer.
+	// KindServed is a complete response to the request.
 	Served
-	// Held says that the shared store holds the request off.
+	// KindQuarantined is a quarantine entry for the request in the shared store.
 	Held
 )
 
-// Item is a fact as nodes tell it to each other.
+// Item is an observation in the form in which nodes exchange it.
 type Item struct {
 	Kind        Kind
 	Fingerprint Fingerprint
-	// Server is the key of the incarnation that ended; 0 for other kinds.
+	// Server is the key of the incarnation that crashed; 0 for other kinds.
 	Server uint64
-	// Age is how long ago the fact was found out.
+	// Age is the time since the observation.
 	Age time.Duration
 }
 
-// mostTold bounds the items that are told at once, some 20 KB; the rest follows.
+// maxItemsPerBatch bounds the items returned at once, some 20 KB; the rest follows in further
+// batches.
 const mostTold = 1024
 
-// Place returns up to where the ledger's facts reach.
+// Position returns the position of the latest observation.
 func (l *Ledger) Place() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.place
 }
 
-// Scope is which facts a node tells.
+// Scope selects which observations Since returns.
 type Scope int
 
 const (
-	// All are those that it found out and those that it was told.
+	// All selects observations made by this node and those received from other nodes.
 	All Scope = iota
-	// Own are those that it found out. Who only asks has heard all others from the node that
-	// it asks.
+	// Own selects observations made by this node. It suffices for reports to the node that this one
+	// polls, which is where all others came from.
 	Own
 )
 
-// Since returns the facts after a place but for those that a teller has told, in their order
-// and mostTold at most, and from which place to read on. A teller is one life of a process:
-// the next one knows nothing of what the one before has told.
+// Since returns the observations after a position, in order and at most maxItemsPerBatch, and
+// the position from which to continue. It omits those received from the peer named exclude. A
+// peer is one process lifetime: a restarted process does not know what it sent before.
 func (l *Ledger) Since(place int64, except string, scope Scope, now time.Time) (items []Item, next int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -89,7 +90,7 @@
 	return items, next
 }
 
-// Take takes what another node told. What is older than a fact may count is left out.
+// Apply records observations received from a peer, and ignores those that have expired.
 func (l *Ledger) Take(items []Item, teller string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// life is how long a fact of the kind counts.
+// ttl returns how long an observation of the kind remains relevant.
 func (k Kind) life() time.Duration {
 	switch k {
 	case Ended:
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -10,86 +10,92 @@
 )
 
 const (
-	// enoughEnds is how many servers must have ended under a request until it is held off.
-	// One more server ends for each one more; with two, requests that ran beside the ends
-	// of two servers by chance would be refused.
+	// crashThreshold is the number of server crashes after which a request is quarantined. Each
+	// increment costs one more server; with two, requests that happened to run beside two crashes
+	// would be rejected.
 	enoughEnds = 3
-	// sharedWeight is what the end of a server counts against a request that ran beside one
-	// under which as many servers have ended or more.
+	// sharedWeight is the weight of a crash for a request that ran beside another one with at least
+	// as many crashes.
 	sharedWeight = 0.5
-	// spreadTime is the time in which all nodes know that a server ended under a request: they
-	// wait half a second for a sign of its life, and news take less than a second.
+	// propagationTime is the time until all nodes know of a crash: they wait half a second for a
+	// sign of life of the server, and observations reach all nodes in less than a second.
 	spreadTime = 1500 * time.Millisecond
-	// companyTime is how old the end of a server must be until it counts as one at which a request
-	// was alone that has been in company before: busy nodes tell later than usual what else ran
-	// there.
+	// soloConfirmDelay is the minimum age of a crash to count as solo (no other suspect on the
+	// server) for a request that also has shared crashes. Busy nodes are slow to report what else
+	// ran on the server.
 	companyTime = 1200 * time.Millisecond
-	// enoughGroups is in how many such times servers must end under a request that only ever ran
-	// beside others until it is held off: in the first nobody could keep it apart.
+	// crashGroupThreshold is the number of separate propagationTime intervals with crashes that it
+	// takes to quarantine a request with only shared crashes: within the first one no node could
+	// isolate it from the others. With crashes in more intervals the quarantine is no longer
+	// ambiguous.
 	enoughGroups = 2
-	// shortestCompanyHold is the shortest time for which a request is held off that only ever
-	// ran beside others that may be to blame, and twice that the longest. What the first of them
-	// does that comes back, all know before most others do.
+	// minAmbiguousDuration is the minimum quarantine of a request with only shared crashes; the
+	// maximum is twice that. What the first such request to return does is known to all nodes
+	// before most others return.
 	shortestCompanyHold = 2 * spreadTime
-	// suspicionWait is how long a request is held off that is back from that, while it is not
-	// settled whether one more server has ended under it.
+	// pendingSuspicionDuration is how long a request that has returned from an ambiguous quarantine
+	// is rejected while a suspicion of another crash is unresolved.
 	suspicionWait = time.Second
-	// HoldLife is how long a request is held off after the last server ended under it. It
-	// is the longest life of a key in the shared store. A server that takes 10 s to come
-	// back is then lost for 2 % of the time at most.
+	// QuarantineDuration is how long a request is quarantined after its last crash. It is the
+	// longest lease in the shared store. A server that takes 10 s to restart is then unavailable
+	// for at most 2% of the time.
 	HoldLife = 10 * time.Minute
-	// endLife is how long the end of a server counts. It is longer than HoldLife, so that a
-	// request that was let go on is held off again after one more end.
+	// crashTTL is how long a crash counts. It exceeds QuarantineDuration, so that a released
+	// request is quarantined again after a single further crash.
 	endLife = time.Hour
-	// servedLife is how long a whole answer clears a request, whatever ends beside it. It
-	// covers many times the way of a fact through the fleet, which is under a second.
+	// servedTTL is how long a complete response clears a request, even if further servers crash
+	// under it. It is many times the propagation time of an observation, which is under a second.
 	servedLife = 30 * time.Second
-	// mostRequests bounds the requests that are remembered, 3 MB when there are so many: as
-	// many as the loss of a zone of 250 servers with 16 runs each makes suspect at once.
+	// maxRequests bounds the remembered requests, which take 3 MB at the bound. It is the number of
+	// requests that become suspect at once when a zone of 250 servers with 16 requests each is
+	// lost.
 	mostRequests = 4096
-	// droppedPart is the part, one in so many, of them that is dropped when there are more.
+	// evictionDivisor sets the share of requests that is evicted at the bound: one in
+	// evictionDivisor.
 	droppedPart = 4
-	// mostEnds bounds the servers that are remembered for one request: more than end within
-	// spreadTime, so that what two requests share stays known of both.
+	// maxCrashesPerRequest bounds the remembered crashes of a request. It exceeds the number of
+	// crashes within propagationTime, so that the shared crashes of two requests remain known for
+	// both.
 	mostEnds = 32
-	// forgetInterval is the least time between two looks for what is too old.
+	// expiryInterval is the minimum time between scans for expired observations.
 	forgetInterval = time.Second
 )
 
-// fact is something that was found out at a time.
+// observation is a fact about a request, observed at a given time.
 type fact struct {
 	at time.Time
-	// place orders the facts of this ledger, from 1 on.
+	// place is the position in the sequence of observations of this ledger, starting at 1.
 	place int64
-	// teller is the node that told it, or "" if this node found it out.
+	// peer is the node that reported the observation, or empty if this node made it.
 	teller string
 }
 
 func (f fact) known() bool { return f.place != 0 }
 
-// history is what is known of one request.
+// history holds the observations of one request.
 type history struct {
-	// ends holds the servers' incarnations that ended under it.
+	// crashes holds the incarnations that crashed while running the request.
 	ends map[uint64]fact
-	// served is the last whole answer that is known.
+	// served is the latest known complete response.
 	served fact
-	// held is when the shared store was last seen to hold it off.
+	// quarantined is when the shared store was last seen to contain the request.
 	held fact
 }
 
-// Ledger remembers what requests have done. It is safe for concurrent use.
+// Ledger records observations of requests and derives verdicts from them. It is safe for
+// concurrent use.
 type Ledger struct {
-	// Changed, if set, hears that there is a new fact. It must not block.
+	// Changed, if set, is called after each new observation. It must not block.
 	Changed func()
 
-	// active is how many requests are remembered.
+	// active is the number of remembered requests plus that of requests with pending suspicions.
 	active atomic.Int64
 
 	mutex     sync.Mutex
 	histories map[Fingerprint]*history
-	// byServer holds the requests under which a server has ended.
+	// byServer maps each crashed incarnation to the requests that it was running.
 	byServer map[uint64]map[Fingerprint]bool
-	// suspected counts the ends of each request that are not settled yet.
+	// pending counts the unresolved suspicions of each request.
 	suspected map[Fingerprint]int
 	place     int64
 	forgotAt  time.Time
@@ -102,11 +108,12 @@
 	}
 }
 
-// Active reports whether anything is remembered or suspected. While it is not, no request
-// needs a fingerprint.
+// Active reports whether any request is remembered or suspected. Otherwise requests need no
+// fingerprint.
 func (l *Ledger) Active() bool { return l.active.Load() > 0 }
 
-// Suspect notes that a server may have ended under a request. Settle must follow.
+// Suspect records that a server may have crashed while running a request. A call of Resolve must
+// follow.
 func (l *Ledger) Suspect(f Fingerprint) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,7 +121,7 @@
 	l.count()
 }
 
-// Settle takes whether a server ended that was suspected to have ended at a time.
+// Resolve resolves a suspicion that a server crashed at a given time.
 func (l *Ledger) Settle(f Fingerprint, server uint64, at time.Time, ended bool, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -127,8 +134,8 @@
 	l.count()
 }
 
-// Served takes that a request had a whole answer, and reports whether that is news: it
-// clears a request that was suspected.
+// Served records a complete response to a request. It reports whether that is new information,
+// which clears a suspected request.
 func (l *Ledger) Served(f Fingerprint, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -142,7 +149,7 @@
 	return l.take(Item{Kind: Served, Fingerprint: f}, now, "", now)
 }
 
-// TakeStored takes the requests that the shared store holds off.
+// ApplyStored records the requests that are quarantined in the shared store.
 func (l *Ledger) TakeStored(held []Fingerprint, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -154,8 +161,8 @@
 	}
 }
 
-// take takes a fact of a time, and reports whether it was news. The caller holds the
-// mutex.
+// record adds an observation made at a given time, and reports whether it was new. The caller
+// must hold the mutex.
 func (l *Ledger) take(item Item, at time.Time, teller string, now time.Time) bool {
 	l.forget(now)
 	known := l.histories[item.Fingerprint]
@@ -177,10 +184,10 @@
 	return true
 }
 
-// apply adds a fact to a history, and reports whether it was news. The order in which
-// facts come does not matter.
+// merge adds an observation to a history, and reports whether it was new. The result does not
+// depend on the order of observations.
 func (l *Ledger) apply(h *history, item Item, new fact) bool {
-	// cleared reports whether a whole answer is known that outweighs what was found at a time.
+	// cleared reports whether a known complete response overrides an observation at a given time.
 	cleared := func(at time.Time) bool { return h.served.known() && h.served.at.Add(servedLife).After(at) }
 	switch item.Kind {
 	case Ended:
@@ -244,7 +251,7 @@
 	l.forgetEnd(f, h, oldest)
 }
 
-// forget drops what is too old.
+// expire removes expired observations.
 func (l *Ledger) forget(now time.Time) {
 	if now.Sub(l.forgotAt) < forgetInterval {
 		return
@@ -259,8 +266,8 @@
 		if now.Sub(h.held.at) > HoldLife {
 			h.held = fact{}
 		}
-		// A whole answer is remembered for as long again, so that older facts which come
-		// late are still known to be older.
+		// Complete responses are kept for twice their TTL, to recognize delayed observations that
+		// they override.
 		if now.Sub(h.served.at) > 2*servedLife {
 			h.served = fact{}
 		}
@@ -271,9 +278,9 @@
 	l.count()
 }
 
-// makeRoom drops the requests that matter least if too many are remembered: those with the
-// fewest ends, and among these the ones that were heard of first. It drops many at once,
-// since each time all are looked at.
+// evict removes the least important requests if too many are remembered: those with the fewest
+// crashes, and among these the least recently observed. It evicts many at once, since each call
+// sorts all requests.
 func (l *Ledger) makeRoom() {
 	if len(l.histories) < mostRequests {
 		return
@@ -289,7 +296,7 @@
 	}
 }
 
-// compare orders histories by how much they matter, those that matter least first.
+// comparePriority orders histories by importance for eviction, the least important first.
 func (h *history) compare(other *history) int {
 	if h.held.known() != other.held.known() {
 		if h.held.known() {
@@ -300,7 +307,7 @@
 	return cmp.Or(cmp.Compare(len(h.ends), len(other.ends)), cmp.Compare(h.latest().place, other.latest().place))
 }
 
-// latest is the fact that was heard of last.
+// latestObservation returns the most recently recorded observation.
 func (h *history) latest() fact {
 	last := h.served
 	if h.held.place > last.place {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -16,10 +16,10 @@
 
 var begin = time.Unix(1000, 0)
 
-// ended says that every server has ended for certain.
+// alwaysConfirmed treats every crash as confirmed.
 func ended(uint64, time.Time) bool { return false }
 
-// end lets a server end under requests.
+// crash records that a server crashed while running the given requests.
 func end(l *Ledger, server uint64, at time.Time, requests ...Fingerprint) {
 	for _, f := range requests {
 		l.Suspect(f)
@@ -39,12 +39,12 @@
 	require.Equal(t, Verdict{Held: true, Ends: enoughEnds, Weight: enoughEnds, Until: begin.Add(HoldLife)}, verdict)
 	require.False(t, l.Judge(8, ended, begin).Held, "another request")
 	later := begin.Add(HoldLife)
-	require.False(t, l.Judge(7, ended, later).Held, "it may be tried again")
+	require.False(t, l.Judge(7, ended, later).Held, "released after the quarantine")
 	end(l, 9, later, 7)
-	require.True(t, l.Judge(7, ended, later).Held, "one more server is enough then")
+	require.True(t, l.Judge(7, ended, later).Held, "quarantined again after one more crash")
 	require.False(t, l.Judge(7, ended, later.Add(endLife+1)).Held)
 	end(l, 10, later.Add(3*endLife), 8)
-	require.Equal(t, int64(1), l.active.Load(), "what is too old is forgotten")
+	require.Equal(t, int64(1), l.active.Load(), "expired observations are removed")
 }
 
 func TestAServerThatAnswersLaterRequestsHasNotEnded(t *testing.T) {
@@ -55,7 +55,7 @@
 	lives := func(server uint64, since time.Time) bool { return server == 1 && since.Equal(begin) }
 	require.False(t, l.Judge(7, lives, begin).Held)
 	l.TakeStored([]Fingerprint{7}, begin)
-	require.False(t, l.Judge(7, lives, begin).Held, "the store does not know better")
+	require.False(t, l.Judge(7, lives, begin).Held, "confirmed observations take precedence over the store")
 	require.True(t, l.Cleared(7, lives, begin))
 	require.False(t, l.Cleared(7, ended, begin))
 	require.Empty(t, l.HeldOff(lives, begin))
@@ -70,14 +70,14 @@
 	require.False(t, l.Active())
 }
 
-// A whole answer clears a request, also of ends that are told later.
+// A complete response clears a request, also of crashes that are reported later.
 func TestAWholeAnswerClearsARequest(t *testing.T) {
 	l := NewLedger()
 	require.False(t, l.Served(7, begin), "nothing to clear")
 	end(l, 1, begin, 7)
 	end(l, 2, begin, 7)
 	require.True(t, l.Served(7, begin.Add(time.Second)))
-	require.False(t, l.Served(7, begin.Add(2*time.Second)), "that is known")
+	require.False(t, l.Served(7, begin.Add(2*time.Second)), "already known")
 	for server := range uint64(10) {
 		end(l, 10+server, begin.Add(3*time.Second), 7)
 	}
@@ -86,23 +86,24 @@
 	for server := range uint64(enoughEnds) {
 		end(l, 20+server, later, 7)
 	}
-	require.True(t, l.Judge(7, ended, later).Held, "it may have become harmful")
+	require.True(t, l.Judge(7, ended, later).Held, "the complete response has expired")
 }
 
-// What ran beside a request that ends servers is served, though it ran beside three ends.
+// A bystander of a request that crashes servers is not quarantined, though three servers crashed
+// under it.
 func TestARequestThatRanBesideAnotherIsNotHeldOff(t *testing.T) {
 	l := NewLedger()
 	for server := range uint64(enoughEnds) {
 		end(l, server, begin, 7, 8)
 	}
-	require.False(t, l.Judge(7, ended, begin).Held, "either may have done it")
+	require.False(t, l.Judge(7, ended, begin).Held, "either may be the culprit")
 	require.False(t, l.Judge(8, ended, begin).Held)
 	end(l, 99, begin, 7)
-	require.False(t, l.Judge(7, ended, begin).Held, "others may not have told yet what else ran there")
+	require.False(t, l.Judge(7, ended, begin).Held, "peers may not have reported yet what else ran on the server")
 	known := begin.Add(companyTime)
 	require.True(t, l.Judge(7, ended, known).Held)
 	require.False(t, l.Judge(8, ended, known).Held)
-	// But one that goes on to end servers alone is held off soon.
+	// A former bystander that crashes servers alone is quarantined.
 	end(l, 100, begin, 8)
 	end(l, 101, begin, 8)
 	require.True(t, l.Judge(8, ended, known).Held)
@@ -113,17 +114,18 @@
 	l.TakeStored([]Fingerprint{7}, begin)
 	place := l.Place()
 	l.TakeStored([]Fingerprint{7}, begin.Add(time.Second))
-	require.Equal(t, place, l.Place(), "that is no news")
+	require.Equal(t, place, l.Place(), "no new observation")
 	verdict := l.Judge(7, ended, begin)
 	require.True(t, verdict.Held && verdict.Stored)
-	require.Empty(t, l.HeldOff(ended, begin), "nothing that this node would write")
+	require.Empty(t, l.HeldOff(ended, begin), "this node has nothing to write")
 	require.True(t, l.Served(7, begin.Add(time.Second)))
 	require.True(t, l.Cleared(7, ended, begin.Add(time.Second)))
 	l.TakeStored([]Fingerprint{7}, begin.Add(2*time.Second))
-	require.False(t, l.Judge(7, ended, begin.Add(2*time.Second)).Held, "the key is not removed yet")
+	require.False(t, l.Judge(7, ended, begin.Add(2*time.Second)).Held, "cleared before the key is removed")
 }
 
-// Whatever order facts come in, and however often, nodes that have heard them all agree.
+// Nodes that have received the same observations reach the same verdict, in whatever order and
+// however often they received them.
 func TestNodesThatHaveHeardTheSameAgree(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		var items []Item
@@ -135,7 +137,7 @@
 			}
 			if item.Kind == Ended {
 				item.Server = uint64(rapid.IntRange(1, 8).Draw(t, "server"))
-				// One end has one time, whoever tells of it.
+				// All reports of a crash have the same time.
 				item.Age = time.Duration(item.Server) * 11 * time.Second
 			}
 			if item.Age < item.Kind.life() {
@@ -152,8 +154,8 @@
 	})
 }
 
-// A ledger that tells another all that it knows in pieces leaves out nothing, and tells
-// nobody what it heard from there.
+// A peer receives all observations of a ledger in batches, and does not get back those that it
+// sent.
 func TestEverythingIsToldOnceAndInPieces(t *testing.T) {
 	one, other := NewLedger(), NewLedger()
 	for f := range Fingerprint(3 * mostTold) {
@@ -172,12 +174,12 @@
 	require.Empty(t, back)
 	require.Equal(t, other.Place(), next)
 	own, _ := other.Since(0, "third", Own, begin)
-	require.Empty(t, own, "nothing that it found itself")
+	require.Empty(t, own, "no observations of its own")
 	third, _ := other.Since(0, "third", All, begin)
 	require.Len(t, third, mostTold)
 }
 
-// What is remembered is bounded, and what matters most stays.
+// Memory is bounded, and the most important requests are kept.
 func TestMemoryIsBoundedAndWhatIsHeldOffStays(t *testing.T) {
 	l := NewLedger()
 	for server := range uint64(enoughEnds) {
@@ -202,10 +204,10 @@
 		end(l, server, begin.Add(time.Duration(server)*time.Second), 1)
 	}
 	require.Len(t, l.histories[1].ends, mostEnds)
-	require.Equal(t, begin.Add((10*mostEnds-1)*time.Second).Add(HoldLife), l.Judge(1, ended, begin).Until, "the latest end counts")
+	require.Equal(t, begin.Add((10*mostEnds-1)*time.Second).Add(HoldLife), l.Judge(1, ended, begin).Until, "the latest crash counts")
 }
 
-// bytesOf is the memory that something takes.
+// heapGrowth returns the heap memory taken by the result of build.
 func bytesOf(build func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -217,9 +219,9 @@
 	return after.HeapAlloc - before.HeapAlloc
 }
 
-// With servers that end under a few requests, each running beside others that come again,
-// those requests are held off after a bounded number of ends, and no other is held off
-// that is ever answered whole.
+// A few requests crash servers while others run beside them and are retried. The culprits are
+// quarantined after a bounded number of crashes, and no request that gets a complete response is
+// ever quarantined.
 func TestOnlyTheRequestsThatEndServersAreHeldOff(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -246,7 +248,7 @@
 				running = append(running, Fingerprint(100+p))
 			}
 			end(l, server, now, running...)
-			// What ran beside comes again and is answered, popular requests many times.
+			// Bystanders are retried and get complete responses, popular ones many times.
 			for _, other := range running[1:] {
 				require.False(t, l.Judge(other, ended, now).Held, fmt.Sprint(other))
 				l.Served(other, now.Add(time.Millisecond))
@@ -258,7 +260,7 @@
 	})
 }
 
-// BenchmarkSince is the time to tell of one new fact from a full ledger.
+// BenchmarkSince measures the retrieval of one new observation from a full ledger.
 func BenchmarkSince(b *testing.B) {
 	l := NewLedger()
 	for f := range Fingerprint(mostRequests) {
@@ -267,12 +269,12 @@
 	place := l.Place() - 1
 	for b.Loop() {
 		if items, _ := l.Since(place, "other", All, begin); len(items) != 1 {
-			b.Fatal("one fact is new")
+			b.Fatal("want one new observation")
 		}
 	}
 }
 
-// BenchmarkJudge is the time that a request takes while others are suspected.
+// BenchmarkEvaluate measures the cost per request while others are suspected.
 func BenchmarkJudge(b *testing.B) {
 	l := NewLedger()
 	for f := range Fingerprint(mostRequests) {
@@ -284,9 +286,9 @@
 	}
 }
 
-// Two requests that always run together are held off both, a few servers later, but not for long:
-// one of them may be harmless, and they do not come back together. Servers end one after the
-// other, so that all nodes have heard of the first ones.
+// Two requests that always run together are both quarantined after a few more crashes, but not
+// for long: one of them may be harmless, and they return at different times. The crashes are
+// spread over time, so that all nodes know of the first ones.
 func TestTwoRequestsThatNothingTellsApartAreHeldOff(t *testing.T) {
 	l := NewLedger()
 	now := begin
@@ -300,19 +302,19 @@
 	require.True(t, other.Held && other.Company)
 	require.Less(t, one.Until, now.Add(2*shortestCompanyHold))
 	require.Greater(t, other.Until.Sub(one.Until), time.Second)
-	require.Empty(t, l.HeldOff(ended, now), "the store would keep them for longer")
+	require.Empty(t, l.HeldOff(ended, now), "the store would keep them for QuarantineDuration")
 	end(l, 99, one.Until, 7)
-	require.Equal(t, one.Until.Add(HoldLife), l.Judge(7, ended, one.Until.Add(companyTime)).Until, "it has done it alone")
+	require.Equal(t, one.Until.Add(HoldLife), l.Judge(7, ended, one.Until.Add(companyTime)).Until, "it crashed a server alone")
 }
 
-// However many servers end before all nodes have heard of the first one, that holds off nobody who
-// never ran alone.
+// Crashes before all nodes know of the first one do not quarantine a request that never ran
+// alone, however many there are.
 func TestEndsThatNobodyCouldKeepApartAreNotEnough(t *testing.T) {
 	l := NewLedger()
 	for server := range uint64(mostEnds / 2) {
 		end(l, server, begin.Add(time.Duration(server)*90*time.Millisecond), 7, 8)
 	}
-	// Beside the ends of two others a request has more than each of them.
+	// A bystander of two crashing requests has more crashes than each of them.
 	for server := range uint64(enoughEnds) {
 		end(l, 100+server, begin, 9, 11)
 		end(l, 200+server, begin, 10, 11)
@@ -325,5 +327,5 @@
 	require.True(t, l.Judge(7, ended, later).Held)
 	require.False(t, l.Judge(8, ended, later).Held)
 	l.Served(11, later)
-	require.True(t, l.Judge(9, ended, later).Held, "what ran beside it was answered")
+	require.True(t, l.Judge(9, ended, later).Held, "the bystander was cleared")
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/persister.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// keepTick is the time between two looks at what is to be written, and callTimeout
-	// bounds one call of the store.
+	// persistInterval is the time between comparisons with the store, and callTimeout bounds one
+	// store call.
 	keepTick    = 250 * time.Millisecond
 	callTimeout = time.Second
-	// keepRest follows a call that failed or that did nothing.
+	// persistRetryDelay is the delay before another attempt to write or remove a key that is still
+	// out of date.
 	keepRest = 2 * time.Second
-	// fingerprintBase is the base in which keys of the store name fingerprints.
+	// fingerprintBase is the number base of fingerprints in store keys.
 	fingerprintBase = 16
 )
 
-// Store is what the keeper needs of the shared store.
+// Store is the subset of the shared store that the Persister uses.
 type Store interface {
 	Grant(ctx context.Context, life time.Duration) (coordination.Lease, error)
 	Create(ctx context.Context, key string, value []byte, lease int64) (at coordination.Position, created bool, err error)
 	Remove(ctx context.Context, key string) error
 }
 
-// Recorder hears of what is written. Its methods must not block.
+// Recorder receives the results of writes. Its methods must not block.
 type Recorder interface {
-	// Kept hears that a request is held off, or is not any more, in the shared store, or
-	// that this failed.
+	// QuarantinePersisted records that the quarantine of a request was written to the store or
+	// removed from it, or failed to be.
 	Kept(f Fingerprint, held bool, err error)
 }
 
-// Keeper writes requests that are held off into the shared store, each under a lease, so
-// that a fleet of which all nodes are replaced at once does not let them end servers anew.
+// Persister writes quarantined requests to the shared store, each under a lease. Without it, a
+// fleet whose nodes are all replaced at once would let the same requests crash servers again.
 type Keeper struct {
 	Store    Store
 	Ledger   *Ledger
 	Recorder Recorder
-	// Prefix begins the keys; the fingerprint follows.
+	// Prefix is the key prefix; the fingerprint follows.
 	Prefix string
-	// Unsure is what Ledger.Judge asks.
+	// Unconfirmed is passed to the methods of Ledger.
 	Unsure Unsure
-	// Eligible reports whether this node is among those that write; Turn is how long it
-	// lets others go first, so that mostly one writes.
+	// Eligible reports whether this node may write. WriteDelay is how long it leaves a write to
+	// other nodes first, so that usually only one node writes.
 	Eligible func() bool
 	Turn     func() time.Duration
-	// Now is the present time.
+	// Now returns the current time.
 	Now func() time.Time
 
 	mutex sync.Mutex
-	// stored are the requests that the store was last seen to hold off.
+	// stored holds the requests that were in the store when it was last read.
 	stored map[Fingerprint]bool
-	// due is when this node writes a request that is not in the store.
+	// writeAt is when this node next writes or removes the key of a request.
 	due map[Fingerprint]time.Time
 }
 
-// Observe takes the keys below the prefix as the store was just seen to hold them.
+// Observe takes the entries below the prefix as just read from the store.
 func (k *Keeper) Observe(entries []coordination.Entry) {
 	stored := make(map[Fingerprint]bool, len(entries))
 	var held []Fingerprint
@@ -77,7 +78,7 @@
 	k.Ledger.TakeStored(held, k.Now())
 }
 
-// Run writes until the context ends.
+// Run updates the store until the context is done.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if k.Ledger.Active() && k.Eligible() {
@@ -87,7 +88,7 @@
 	}
 }
 
-// settle writes what is missing in the store and removes what was cleared.
+// reconcile writes missing keys to the store and removes those of cleared requests.
 func (k *Keeper) settle(ctx context.Context) {
 	now := k.Now()
 	missing, cleared := k.differences(now)
@@ -99,8 +100,8 @@
 	}
 }
 
-// differences returns the requests whose keys are missing in the store, as far as it is
-// this node's turn to write them, and those whose keys should go.
+// diff returns the requests whose keys are missing in the store and due to be written by this
+// node, and those whose keys should be removed.
 func (k *Keeper) differences(now time.Time) (missing, cleared []Fingerprint) {
 	held := k.Ledger.HeldOff(k.Unsure, now)
 	k.mutex.Lock()
@@ -137,7 +138,7 @@
 
 func (k *Keeper) key(f Fingerprint) string { return k.Prefix + f.String() }
 
-// write creates the request's key. That another node has done so is as good.
+// write creates the key of a request. If another node has already created it, write succeeds.
 func (k *Keeper) write(ctx context.Context, f Fingerprint) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/quarantine/company_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -14,37 +14,37 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// crowd is a service in virtual time whose requests have one prompt in common: all go to the same
-// server, unless they are kept apart.
+// simulation is a service in virtual time whose requests share a prompt: all are routed to the
+// same server unless they are isolated.
 type crowd struct {
 	random  *rand.Rand
 	ledger  *Ledger
 	now     time.Time
 	servers []place
-	// settling are suspicions that are not settled yet, the oldest first.
+	// pending holds the unresolved suspicions, oldest first.
 	settling []suspicion
 	guilty   []*sender
 	others   []*sender
 }
 
-// suspicion is a server that has ended under a request, and when that is certain.
+// suspicion is a crash and the time at which it is resolved.
 type suspicion struct {
 	at     time.Time
 	settle func()
 }
 
-// place is where a server is; another one comes there some time after one has ended.
+// serverSlot is the location of a server. Another server starts there some time after a crash.
 type place struct {
 	server uint64
 	upAt   time.Time
 }
 
-// sender sends one request again and again.
+// client sends the same request repeatedly.
 type sender struct {
 	f Fingerprint
-	// takes is how long its answer takes, or how long a server lasts that it ends.
+	// duration is the response time, or for a culprit the time until the server crashes.
 	takes time.Duration
-	// at is where it runs until doneAt, or -1 while it waits until then.
+	// at is the slot where the request runs until doneAt, or -1 while the client waits until then.
 	at     int
 	doneAt time.Time
 	ends   []time.Time
@@ -52,8 +52,8 @@
 	held   int
 }
 
-// late counts the servers that a request ended once all could know of three. It may have none,
-// where others ended those that it ran at.
+// lateCrashes counts the crashes caused by a request after all nodes had time to learn of three.
+// There may be none if other requests crash its servers first.
 func (s *sender) late() int {
 	if len(s.ends) < enoughEnds {
 		return 0
@@ -63,22 +63,23 @@
 }
 
 const (
-	// crowdSettles is how long a server's end is in doubt, and crowdKnows when all know of it.
+	// confirmDelay is how long a crash is unresolved, and awarenessDelay the time until it is known
+	// to all nodes.
 	crowdSettles = 500 * time.Millisecond
 	crowdKnows   = 1200 * time.Millisecond
 	crowdTick    = 20 * time.Millisecond
-	// crowdPause is after what time a request that was held off comes again.
+	// retryDelay is how long a client waits after its request was rejected.
 	crowdPause   = 100 * time.Millisecond
 	crowdContact = 3 * time.Second
-	// crowdEnds is about how long one request to blame takes from end to end.
+	// crashCycle is approximately the time from one crash caused by a culprit to its next.
 	crowdEnds = 200 * time.Millisecond
 	mostLate  = 3
 )
 
 func (c *crowd) unsure(_ uint64, at time.Time) bool { return c.now.Sub(at) < crowdKnows }
 
-// put returns the server for a request, or -1: the first of the order that all have in common, or
-// of one of its own.
+// pickSlot returns the slot for a request, or -1 if all servers are down: the first in the
+// common order, or in an order of its own if it is isolated.
 func (c *crowd) put(f Fingerprint, apart bool) int {
 	best, least := -1, uint64(0)
 	for i, p := range c.servers {
@@ -106,7 +107,7 @@
 	s.doneAt = c.now.Add(s.takes)
 }
 
-// end lets a server end under all that runs there.
+// crash crashes the server in a slot with all requests that run there.
 func (c *crowd) end(at int, down time.Duration) {
 	ended, server := c.now, c.servers[at].server
 	for _, s := range slices.Concat(c.guilty, c.others) {
@@ -147,8 +148,8 @@
 	}
 }
 
-// Requests that run beside the ends of servers, with the same prompt as those to blame and for
-// longer than servers last, are not held off, and those that end servers are in time.
+// Bystanders that share the prompt of requests that crash servers, and run longer than the
+// servers last, are not quarantined, and the culprits are in time.
 func TestNoRequestIsHeldOffForItsCompany(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		c := &crowd{random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2)), ledger: NewLedger(), now: begin}
@@ -166,26 +167,27 @@
 		c.run(12*time.Second, down)
 		for i, s := range c.others {
 			if len(c.servers) <= 2*len(c.guilty) {
-				// Nearly all are down, and nothing can be kept apart.
+				// Nearly all servers are down, and no request can be isolated.
 				continue
 			}
 			require.NotZero(t, s.served)
 			most := 0
 			if down*time.Duration(2*len(c.guilty)) > crowdEnds*time.Duration(len(c.servers)) {
-				// Half are down while those to blame come again: kept apart, they meet all the same.
+				// Half of the servers are down when culprits return: isolated requests meet them
+				// nevertheless.
 				most = int(2 * shortestCompanyHold / crowdPause)
 			}
-			require.LessOrEqual(t, s.held, most, "request %d beside them, served %d times", i, s.served)
+			require.LessOrEqual(t, s.held, most, "bystander %d, served %d times", i, s.served)
 		}
 		for i, s := range c.guilty {
-			require.LessOrEqual(t, s.late(), mostLate, "request %d of those to blame, %d ends", i, len(s.ends))
+			require.LessOrEqual(t, s.late(), mostLate, "culprit %d, %d crashes", i, len(s.ends))
 		}
 	})
 }
 
-// Pattern: six requests end servers and come again at once, before sixteen servers that are soon
-// back; beside them 256 others with the same prompt, thirty at a time. Of those, 9 to 23 were held
-// off for ten minutes while requests were not kept apart.
+// Load pattern: six requests crash servers and are retried at once, on sixteen servers that
+// restart quickly. They share a prompt with 256 others, of which thirty run at a time. Without
+// isolation, 9 to 23 of those were quarantined for ten minutes.
 func TestManyRequestsBesideSomeThatEndServersAreServed(t *testing.T) {
 	for seed := range uint64(8) {
 		c := &crowd{random: rand.New(rand.NewPCG(seed, 2)), ledger: NewLedger(), now: begin}
@@ -204,7 +206,7 @@
 				require.Zero(t, s.held, "seed %d", seed)
 				return s.served > 0
 			})
-			require.Less(t, c.now.Sub(begin), 30*time.Second, "seed %d: %d are not served", seed, len(c.others))
+			require.Less(t, c.now.Sub(begin), 30*time.Second, "seed %d: %d not served", seed, len(c.others))
 		}
 		c.run(5*time.Second, 200*time.Millisecond)
 		for _, s := range c.guilty {
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// Unsure reports whether it is not certain that a server ended at a time.
+// Unconfirmed reports whether a crash of a server at a given time is not certain.
 type Unsure func(server uint64, at time.Time) bool
 
-// Verdict says whether a request is held off.
+// Verdict is the decision whether a request is quarantined.
 type Verdict struct {
 	Held bool
-	// Ends is how many servers are known to have ended under the request, Weight what
-	// that counts.
+	// Crashes is the number of servers known to have crashed while running the request, and Weight
+	// their total weight.
 	Ends   int
 	Weight float64
-	// Stored says that the shared store holds it off, whatever this node knows itself.
+	// Stored reports that the quarantine comes from the shared store, independently of the
+	// observations of this node.
 	Stored bool
-	// Company says that each server which ended ran another request that may be to blame.
+	// Ambiguous reports that another suspect request ran on each of the crashed servers.
 	Company bool
-	// Until is when the request may be sent to a server again.
+	// Until is the end of the quarantine.
 	Until time.Time
 }
 
-// Judge returns the verdict on a request. Unsure reports whether a server may not have ended
-// at a time, or may have for a reason that others have not told yet: that counts for nothing.
+// Evaluate returns the verdict on a request. Crashes are ignored for which unconfirmed returns
+// true: the server may not have crashed, or for a reason that other nodes have not reported yet.
 func (l *Ledger) Judge(f Fingerprint, unsure Unsure, now time.Time) Verdict {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -35,27 +36,28 @@
 		return Verdict{}
 	}
 	v := l.weigh(f, known, unsure, now)
-	// Who knows the ends of the servers judges by them: some may have answered since.
+	// If this node knows the crashes, it relies on them rather than on the store: some of the
+	// servers may have answered since.
 	if until := known.held.at.Add(HoldLife); known.held.known() && len(known.ends) < enoughEnds && until.After(now) {
 		v.Held, v.Stored, v.Until = true, true, until
 	}
 	return v
 }
 
-// evidence is what the ends of servers tell of a request.
+// evidence summarizes the crashes of a request.
 type evidence struct {
-	// ends are when servers ended under it, in order, and weight what that counts.
+	// crashes holds the times of confirmed crashes, in order, and crashWeight their total weight.
 	ends   []time.Time
 	weight float64
-	// company counts the servers that ended at which others ran that may be to blame, and aloneAt is
-	// when the first one ended without such company.
+	// shared counts the crashes with another suspect request on the server, and soloAt is the time
+	// of the first crash without one.
 	company int
 	aloneAt time.Time
-	// doubted is when the last server may have ended of which that is not certain.
+	// lastUnconfirmed is the time of the last unconfirmed crash.
 	doubted time.Time
 }
 
-// gather collects what is known of a request.
+// collectEvidence summarizes the crashes in a history.
 func (l *Ledger) gather(f Fingerprint, h *history, unsure Unsure, now time.Time) evidence {
 	var e evidence
 	for server, end := range h.ends {
@@ -66,7 +68,8 @@
 		default:
 			e.ends = append(e.ends, end.at)
 			e.weight += l.weight(f, server, len(h.ends))
-			// Who runs beside the ends of several requests has more than each of them.
+			// Each crash is compared with at most crashThreshold crashes: a request that runs
+			// beside several crashing ones has more crashes than each of them.
 			if l.shared(f, server, min(len(h.ends), enoughEnds)) {
 				e.company++
 			} else if e.aloneAt.IsZero() || end.at.Before(e.aloneAt) {
@@ -78,12 +81,13 @@
 	return e
 }
 
-// alone reports whether the request is known to have ended a server by itself.
+// crashedAlone reports whether the request is known to have crashed a server without another
+// suspect on it.
 func (e *evidence) alone(now time.Time) bool {
 	return !e.aloneAt.IsZero() && (e.company == 0 || now.Sub(e.aloneAt) >= companyTime)
 }
 
-// weigh returns the verdict on a request by what this node knows.
+// evaluate returns the verdict on a request from the observations in its history.
 func (l *Ledger) weigh(f Fingerprint, h *history, unsure Unsure, now time.Time) Verdict {
 	e := l.gather(f, h, unsure, now)
 	if len(e.ends) == 0 {
@@ -94,8 +98,8 @@
 	until := last.Add(HoldLife)
 	if weight, groups := companyWeight(e.ends); !e.alone(now) {
 		v.Weight = min(v.Weight, weight)
-		// Who was kept apart, came back at a time of its own and ended a server once more has not
-		// met company by chance.
+		// A request that crashed another server after it was isolated and returned at a time of its
+		// own was not a bystander by chance.
 		v.Company = groups <= enoughGroups
 	}
 	if v.Company {
@@ -107,8 +111,8 @@
 	return v
 }
 
-// awaited is until when it is not known what became of the last run of a request. Once it is back
-// from being held off for its company, one run is enough.
+// pendingUntil returns until when the result of the last attempt of a request remains unknown.
+// After an ambiguous quarantine, a single attempt is decisive.
 func (l *Ledger) awaited(f Fingerprint, e evidence, now time.Time) time.Time {
 	if l.suspected[f] > 0 {
 		return now.Add(suspicionWait)
@@ -116,7 +120,8 @@
 	return e.doubted.Add(spreadTime)
 }
 
-// weight is what the end of a server counts against a request under which so many have ended.
+// crashWeight returns the weight of a server crash for a request with the given number of
+// crashes.
 func (l *Ledger) weight(f Fingerprint, server uint64, ends int) float64 {
 	if l.shared(f, server, ends) {
 		return sharedWeight
@@ -131,8 +136,8 @@
 	return one
 }
 
-// shared reports whether another request ran at a server as it ended under which at least a
-// number of servers have ended.
+// isShared reports whether another request with at least the given number of crashes ran on a
+// server when it crashed.
 func (l *Ledger) shared(f Fingerprint, server uint64, ends int) bool {
 	for other := range l.byServer[server] {
 		if other != f && len(l.histories[other].ends) >= ends {
@@ -142,10 +147,10 @@
 	return false
 }
 
-// companyWeight is what the ends of servers count, in order, of which none ran a request alone,
-// and in how many groups they came. Until all nodes have heard of the first ones, nobody can keep
-// those apart that ran together: however many servers end meanwhile, that counts for half of
-// what is enough.
+// groupedCrashWeight returns the weight of a sequence of shared crashes, and the number of
+// groups that are at least propagationTime apart. Within a group no node can isolate requests
+// that ran together, so a group counts for at most half of crashThreshold however many servers
+// crash.
 func companyWeight(ends []time.Time) (weight float64, groups int) {
 	group := 0.0
 	var begun time.Time
@@ -162,15 +167,16 @@
 	return weight, groups
 }
 
-// companyHold is how long a request is held off that only ever ran beside others that may be to
-// blame. Each comes back at a time of its own: the next run tells them apart.
+// ambiguousDuration returns the quarantine duration of a request with only shared crashes. It
+// depends on the fingerprint, so that such requests return at different times and the next
+// attempt tells them apart.
 func companyHold(f Fingerprint) time.Duration {
 	draw := float64(f) / math.MaxUint64
 	return shortestCompanyHold + time.Duration(draw*float64(shortestCompanyHold))
 }
 
-// Suspected returns how many servers have ended under a request, or may have by what this node
-// has seen itself.
+// SuspectedCrashes returns the number of servers that have crashed while running a request,
+// including unresolved suspicions of this node.
 func (l *Ledger) Suspected(f Fingerprint) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -181,9 +187,9 @@
 	return count
 }
 
-// HeldOff returns the requests that this node holds off by what it knows, whatever the
-// shared store says. Those that are held off for their company are not among them: the store
-// would keep them for HoldLife.
+// QuarantinedRequests returns the requests that this node quarantines from its own observations,
+// whatever the shared store contains. Ambiguous ones are omitted: the store would keep them for
+// QuarantineDuration.
 func (l *Ledger) HeldOff(unsure Unsure, now time.Time) []Fingerprint {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -199,8 +205,8 @@
 	return held
 }
 
-// Cleared reports whether a request is known to need no holding off: it had a whole answer,
-// or of the servers that had ended under it enough have answered since.
+// Cleared reports whether a request is known not to need quarantine: it had a complete response,
+// or enough of its crashed servers have answered since.
 func (l *Ledger) Cleared(f Fingerprint, unsure Unsure, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
