--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -170,8 +170,8 @@
 		state.abandon(probe)
 		state.busyUntil = now.Add(refusalRest)
 		if state.rest.left(now) == 0 {
-			// The server is in backoff and gets no requests until its end, so the refusal does not
-			// raise its failure rate.
+			// Refusals during a backoff do not count: the server gets no requests until its end
+			// anyway.
 			state.refusals.note(1, now)
 		}
 	case exchange.ResultUnreached:
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -64,6 +64,7 @@
 	loadingUntil time.Time
 }
 
+// entry is the state of one server incarnation in a Set.
 type state struct {
 	server *Server
 	// name is the incarnation name, and key its ServerKey.
@@ -155,7 +156,7 @@
 	return set.Apply(changed, gone, now)
 }
 
-// Apply adds or updates the changed servers, and unlists the instances in gone. It returns the
+// Apply adds or updates the changed servers, and unlists those named in gone. It returns the
 // changes. It retains the servers, which the caller must not modify afterwards.
 func (set *Set) Apply(changed []*Server, gone []string, now time.Time) []Change {
 	set.mutex.Lock()
--- a/internal/backend/work.go
+++ b/internal/backend/work.go
@@ -19,9 +19,9 @@
 	Suspects int
 }
 
-// drainingSuspects marks a draining server in Work.Suspects; no fleet has as many nodes. Sharing
-// the field takes no extra bytes, is sent first where reports are truncated, and makes builds
-// that do not know the mark skip the server too.
+// drainingSuspects marks a draining server in Work.Suspects; no fleet has as many nodes. The
+// mark takes no extra bytes in this field, is sent first where reports are truncated, and makes
+// builds that do not know it skip the server too.
 const leavingSuspects = 1 << 20
 
 // Draining reports whether the server has told any node that it is shutting down.
@@ -41,7 +41,8 @@
 	trustedShare = 1.0 / 3
 )
 
-// Work returns this node's work on all servers, without servers that have nothing to report.
+// Work returns this node's work on all servers, without servers that have nothing to report. It
+// omits suspicions if this node suspects more than maxSuspectedShare of its servers.
 func (set *Set) Work(now time.Time) []Work {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
