--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -70,7 +70,7 @@
 	begun time.Time
 }
 
-// Started records that the server has processed the prompt and begun to answer.
+// ResponseStarted records that the server has processed the prompt and begun to answer.
 func (attempt *Attempt) Started(now time.Time) {
 	if attempt.state == nil {
 		return
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -32,7 +32,7 @@
 	Loaded  []Load
 }
 
-// ApplyLoads replaces the progress of the rollout. Servers that are not in Loading are not
+// SetLoads replaces the progress of the rollout. Servers that are not in Loading are not
 // loading.
 func (set *Set) Load(loads Loads, now time.Time) {
 	set.mutex.Lock()
