--- a/internal/proxy/contention_test.go
+++ b/internal/proxy/contention_test.go
@@ -15,10 +15,11 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// burst is how many requests are placed at one moment.
+// burstSize is the number of requests that are placed at the same time.
 const burst = 60
 
-// kinds are placers of a request with a prompt and of one without, before servers with 8 slots.
+// requestKinds are constructors of placers by kind of request: with a prompt, or plain. Servers for
+// plain requests have 8 slots.
 var kinds = map[string]func(servers int) *placer{
 	"prompt": func(servers int) *placer { return placing(500, servers, 0) },
 	"plain": func(servers int) *placer {
@@ -33,7 +34,7 @@
 	},
 }
 
-// sibling returns a placer of another request of the same kind.
+// withRequestID returns a placer for a copy of the request with another ID.
 func (p *placer) sibling(number int) *placer {
 	other, request := *p.admitted, *p.admitted.request
 	request.ID = fmt.Sprint("request-", number)
@@ -41,8 +42,8 @@
 	return newPlacer(p.proxy, &other)
 }
 
-// placeTogether places a burst of requests that have all looked at the servers before the first
-// of them begins.
+// placeFromSameSnapshot places a burst of requests that all select a server before the first of
+// them begins.
 func (p *placer) placeTogether() (placed []*placement, refused int) {
 	now := time.Now()
 	placers, choices := make([]*placer, burst), make([]*choice, burst)
@@ -72,7 +73,7 @@
 	return placed, refused
 }
 
-// placeAtOnce places a burst of requests from goroutines of their own.
+// placeConcurrently places each request of a burst in its own goroutine.
 func (p *placer) placeAtOnce() (placed []*placement, refused int) {
 	var mutex sync.Mutex
 	var ready, done sync.WaitGroup
@@ -99,13 +100,13 @@
 	return placed, refused
 }
 
-// bursts are the ways in which many requests are placed at one moment.
+// burstModes are the ways in which a burst of requests is placed.
 var bursts = map[string]func(p *placer) ([]*placement, int){
-	"all look first":  (*placer).placeTogether,
+	"same snapshot":   (*placer).placeTogether,
 	"busy processors": (*placer).placeAtOnce,
 }
 
-// keepProcessorsBusy runs three goroutines a processor that do nothing but count.
+// keepProcessorsBusy runs three spinning goroutines per processor until the test ends.
 func keepProcessorsBusy(t *testing.T) {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -124,7 +125,7 @@
 	}
 }
 
-// eachBurst runs a check for each kind of request and each way to place many at one moment.
+// forEachBurst runs a check for each kind of request and each burst mode.
 func eachBurst(t *testing.T, check func(t *testing.T, placing func(servers int) *placer, burst func(p *placer) ([]*placement, int))) {
 	for kind, placing := range kinds {
 		for way, burst := range bursts {
@@ -140,8 +141,9 @@
 	}
 }
 
-// Guards against a herd on a server whose backoff is over: one of many requests that see it so at
-// one moment probes it, and the others go to the server beside it, or are refused if there is none.
+// Guards against a thundering herd on a server whose backoff has ended. Of many concurrent requests
+// that see it available, one probes it. The others go to another server, or are refused if there is
+// none.
 func TestOneRequestOfABurstProbesAServerAfterItsBackoff(t *testing.T) {
 	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		for servers := range 3 {
@@ -150,13 +152,14 @@
 				p.proxy.set.Notice(fmt.Sprint("i-", i), backend.Notice{Rest: time.Millisecond}, time.Now().Add(-time.Minute))
 			}
 			placed, refused := burst(p)
-			require.Len(t, placed, servers+1, "one at each")
+			require.Len(t, placed, servers+1, "one per server")
 			require.Equal(t, 60, len(placed)+refused)
 		}
 	})
 }
 
-// Guards against a herd on a server whose breaker lets a probe through beside a sound one.
+// Guards against a thundering herd on a failed server whose circuit breaker admits a probe while
+// another server is healthy.
 func TestOneRequestOfABurstProbesAServerThatFailed(t *testing.T) {
 	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		p := placing(2)
@@ -179,8 +182,9 @@
 	})
 }
 
-// Guards against a herd where all servers have failed: each is probed by one request, and the
-// others are refused instead of failing with it. Once a probe is answered, all are placed.
+// Guards against a thundering herd when all servers have failed. Each server is probed by one
+// request, and the others are refused instead of failing too. Once a probe succeeds, all requests
+// are placed.
 func TestOneRequestOfABurstProbesEachServerIfAllHaveFailed(t *testing.T) {
 	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		p := placing(2)
@@ -198,14 +202,14 @@
 	})
 }
 
-// fail lets an attempt at a candidate fail to connect.
+// failAttempt begins an attempt on a candidate and ends it as unreached.
 func (p *placer) fail(c routing.Candidate, at time.Time) {
 	claim := backend.Claim{Query: p.query(at), Chosen: c, Holds: func(*routing.Candidate) bool { return true }}
 	p.proxy.set.Begin(claim, at).End(exchange.ResultUnreached, at)
 }
 
-// Guards against a queue at one server while others stand idle: requests that are placed at one
-// moment are spread as those that are placed one after the other.
+// Guards against a queue on one server while others are idle: requests that are placed
+// concurrently are spread as evenly as sequential ones.
 func TestABurstIsSpreadAsRequestsOneAfterTheOther(t *testing.T) {
 	eachBurst(t, func(t *testing.T, placing func(int) *placer, burst func(*placer) ([]*placement, int)) {
 		longest := func(placed []*placement) int {
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// noticeTime is how long a stopping node still takes new requests, for whoever
-	// sends callers here to see that it is not ready any more.
+	// lameDuckPeriod is how long a stopping node still accepts new requests, so that
+	// load balancers see that it is no longer ready before it refuses any.
 	noticeTime = 2500 * time.Millisecond
-	// lastMoment is kept free before the end of the grace for final answers.
+	// abortMargin is reserved at the end of the grace period for sending final
+	// responses to aborted requests.
 	lastMoment = 700 * time.Millisecond
 	stopPoll   = 20 * time.Millisecond
 )
 
-// Drain is a planned stop: for a while requests are still served, then new ones
-// are refused as not run and the open ones are waited for; what is still open
-// shortly before the grace is over is ended.
+// Drain performs a graceful shutdown. It accepts requests for lameDuckPeriod, then
+// refuses new ones as not run and waits for the open ones. Requests that are still
+// open abortMargin before the end of the grace period are aborted.
 func (proxy *Proxy) Drain(ctx context.Context, grace time.Duration) {
 	begun := boottime.Now()
 	ticker := time.NewTicker(stopPoll)
--- a/internal/proxy/limit.go
+++ b/internal/proxy/limit.go
@@ -9,7 +9,7 @@
 	"github.com/cloverrail/cloverrail/internal/quota"
 )
 
-// cost is how much of its tenant's limit a request takes.
+// cost returns how much of its tenant's rate limit the request uses.
 func (admitted *admitted) cost() float64 {
 	limit, prompt := admitted.tenant.Limit, admitted.request.Prompt
 	if prompt == nil {
@@ -18,12 +18,12 @@
 	return limit.Cost(prompt.Tokens+prompt.Output, true)
 }
 
-// limited reports whether the request counts against a limit.
+// rateLimited reports whether the request counts against a rate limit.
 func (admitted *admitted) limited() bool {
 	return admitted.tenant != nil && admitted.tenant.Limit.Limited()
 }
 
-// checkLimit refuses a request that is beyond its tenant's limit.
+// checkRateLimit refuses a request that exceeds its tenant's rate limit.
 func (proxy *Proxy) checkLimit(admitted *admitted, now time.Time) *failure.Failure {
 	if !admitted.limited() {
 		return nil
@@ -34,14 +34,14 @@
 		return nil
 	}
 	proxy.recorder.Limited(admitted.request, tenant.Name, tenant.Limit, decision)
-	problem := fmt.Sprintf("the tenant asks for more than its limit of %.0f %s a second", tenant.Limit.PerSecond, unitNames[tenant.Limit.Unit])
-	return failure.New(failure.KindRateLimited, problem, "send it again after the time given, or ask for a higher limit").
+	problem := fmt.Sprintf("rate limit exceeded: the tenant is limited to %.0f %s per second", tenant.Limit.PerSecond, unitNames[tenant.Limit.Unit])
+	return failure.New(failure.KindRateLimited, problem, "retry after the given delay, or ask for a higher limit").
 		WithRetryAfter(decision.RetryAfter)
 }
 
 var unitNames = map[quota.Unit]string{quota.Requests: "requests", quota.Tokens: "tokens"}
 
-// settleLimit gives back what was counted for a request that did not run.
+// refundRateLimit returns the cost of a request that did not run to its tenant.
 func (proxy *Proxy) settleLimit(admitted *admitted, outcome exchange.Outcome, now time.Time) {
 	if admitted.limited() && outcome.Failure != nil && outcome.Failure.Outcome == failure.NotRun {
 		proxy.limiter.GiveBack(admitted.tenant.Name, admitted.cost(), now)
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -13,32 +13,35 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// placement is one attempt at a chosen server.
+// placement is an attempt on a chosen server. It implements exchange.Placement.
 type placement struct {
 	placer  *placer
 	chosen  routing.Candidate
 	attempt *backend.Attempt
-	// tokens are those of the prompt that the server is taken to read.
+	// prefillTokens is the estimated number of prompt tokens that the server must
+	// compute because they are neither in its cache nor importable.
 	tokens int
-	// deferred says that all others go first.
+	// deferred is set if the request is late and yields to all others.
 	deferred bool
 	begun    time.Time
-	// suspended is for how long the machine had been suspended when it began.
+	// suspendedAtPlacement is the machine's total suspended time at placedAt.
 	suspended time.Duration
 	started   bool
-	// startedAt is when the server began to answer.
+	// respondingSince is when the response began.
 	startedAt time.Time
 	saves     bool
 }
 
-// Server names the server's incarnation.
+// Server returns the name of the server's incarnation.
 func (placement *placement) Server() string { return placement.chosen.Endpoint }
 
 // Send sends the request to the server.
+//
+// It returns ErrWithdrawn without sending if another response has meanwhile
+// announced that the server is leaving or needs to back off.
 func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*exchange.Reply, error) {
-	// The server may have said so to another request since it was chosen for this one.
 	if placement.placer.proxy.set.Withdrawn(placement.chosen.Endpoint, boottime.Now()) {
-		return nil, &exchange.ErrWithdrawn{Reason: "the server has said meanwhile that it leaves or rests"}
+		return nil, &exchange.ErrWithdrawn{Reason: "the server announced that it is leaving or backing off after it was chosen"}
 	}
 	admitted := placement.placer.admitted
 	dispatch := Dispatch{
@@ -66,8 +69,8 @@
 	return reply, err
 }
 
-// learn takes what a refusal says of the server: that it is gone, or what weights
-// it has.
+// learnFromRefusal updates the server set from a refusal, which can show that the
+// incarnation is gone or which version of the weights the server has loaded.
 func (placement *placement) learn(dispatch Dispatch, err error) {
 	var refused *exchange.ErrRefused
 	if !errors.As(err, &refused) {
@@ -83,10 +86,9 @@
 	}
 }
 
-// addSources says from where the server fetches shared parts that it lacks, and
-// whether it saves to the store of kept KV cache. A server saves whole prompts, so
-// it does only if the store lacks more shared tokens than it would take in for
-// nobody else.
+// addKVSources sets where the server fetches missing shared parts from and whether it
+// saves to the KV cache store. A server saves whole prompts, so it saves only if the
+// store lacks at least as many shared tokens as the prompt has tokens of its own.
 func (placement *placement) addSources(dispatch *Dispatch) {
 	dispatch.FetchFrom = placement.chosen.ImportFrom
 	store := placement.placer.store()
@@ -101,7 +103,7 @@
 	}
 }
 
-// Started says that the server has begun to answer: it has read the prompt.
+// ResponseStarted records the start of the response, which shows that prefill is complete.
 func (placement *placement) Started() {
 	if placement.started {
 		return
@@ -118,7 +120,7 @@
 	placement.remember(now)
 }
 
-// remember notes where the parts of the prompt lie now.
+// recordResidency records which server and store now hold the parts of the prompt.
 func (placement *placement) remember(now time.Time) {
 	placer := placement.placer
 	ledger := placer.proxy.ledger
@@ -135,15 +137,15 @@
 	}
 }
 
-// Doubtful reports whether a silent attempt is better tried elsewhere: only if another server
-// takes it now, since a server that is slow is better than none.
+// Stalled reports whether a silent attempt should be retried on another server. It requires
+// that another server accepts the request now, since a slow server is better than none.
 func (placement *placement) Doubtful(silent time.Duration) bool {
 	return placement.doubtful(silent) && placement.placer.elsewhere(placement.chosen.Endpoint)
 }
 
-// doubtful reports whether an attempt has been silent for too long: soon if its server has
-// answered nobody meanwhile, and later if it only has much to do. The time to read the prompt, and
-// those before it, is allowed for.
+// exceedsSilenceLimit reports whether an attempt has been silent for too long, not counting the
+// expected prefill of its prompt and of those queued before it. The limit is shorter if the server
+// has not answered any request meanwhile, and longer if it is merely busy.
 func (placement *placement) doubtful(silent time.Duration) bool {
 	if !placement.started {
 		silent -= placement.reading()
@@ -161,8 +163,9 @@
 	return silent >= target/2
 }
 
-// StartBy is when the request must have begun if the server's weights are not the
-// newest: it may wait in the server's queue until they must not serve any more.
+// StartDeadline returns the time by which the response must have begun if the server does
+// not have the newest weights: the request may wait in the server's queue until those
+// weights may no longer serve.
 func (placement *placement) StartBy() time.Time {
 	prompt := placement.placer.prompt()
 	if prompt == nil {
@@ -171,8 +174,8 @@
 	return placement.placer.proxy.lastStart(prompt.Model, placement.chosen.Version)
 }
 
-// reading is the time that the server is allowed for reading the prompt and
-// those that were sent before it.
+// prefillAllowance returns the time allowed for the prefill of the prompt and of those
+// that were sent to the server before it.
 func (placement *placement) reading() time.Duration {
 	if placement.placer.prompt() == nil {
 		return 0
@@ -180,13 +183,13 @@
 	return readingAllowance * placement.placer.proxy.pace.timeOf(placement.chosen.QueuedTokens+placement.tokens)
 }
 
-// tellsOfServer reports whether a connection that the server closed is a reason to suspect
-// the request: not if the server was leaving, or if this machine was suspended meanwhile.
+// implicatesRequest reports whether a connection closed by the server makes the request a
+// suspect. It does not if the server was leaving or if this machine was suspended meanwhile.
 func (placement *placement) tellsOfServer() bool {
 	return boottime.Suspended() == placement.suspended && placement.placer.proxy.set.Stays(placement.chosen.Endpoint)
 }
 
-// End says that the attempt is over.
+// End records the result of the attempt.
 func (placement *placement) End(result exchange.Result) {
 	now := boottime.Now()
 	placement.attempt.End(result, now)
--- a/internal/proxy/placer.go
+++ b/internal/proxy/placer.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// plainTurn is the assumed share of a plain request's time that it takes from
-	// the next one at its server, in seconds.
+	// plainRequestCost is the estimated delay in seconds that each running plain request
+	// adds to the next one on the same server.
 	plainTurn = 0.01
-	// placementPart is the part of the target latency for which a request waits
-	// for a server with room before it is refused.
+	// placementWaitDivisor sets how long a request waits for a server with free capacity
+	// before it is refused: the target latency divided by it.
 	placementPart = 8
-	// firstPatience and gapPatience are the silences, in targets, after which a
-	// request that may run again is tried elsewhere.
+	// firstEventTimeoutFactor and eventGapTimeoutFactor bound the silence before the
+	// first event, as a multiple of the target latency, and between events, as a multiple
+	// of the target gap. Then a repeatable request may be retried on another server.
 	firstPatience = 0.5
 	gapPatience   = 4
 	leastGap      = time.Second
-	// lastDoubt is the silence, in targets, after which an attempt is tried elsewhere
-	// even if its server answers others.
+	// maxSilenceFactor is the silence, as a multiple of the target latency, after which
+	// an attempt is retried elsewhere even if its server answers other requests.
 	lastDoubt = 2.5
-	// readingAllowance is how much longer than expected the reading of a prompt may
-	// take before its server is doubted.
+	// prefillAllowanceFactor is how many times its estimated duration a prefill may take
+	// before the silence counts against the server.
 	readingAllowance = 2
-	// saveTime is how long after the first event the parts of a prompt have surely
-	// reached the store.
+	// storeSaveDelay is the time after the first event by which the saved parts of a
+	// prompt are assumed to have reached the store.
 	saveTime = 150 * time.Millisecond
-	// workWeight is how much dearer a second of reading a prompt is than a second
-	// of waiting: it is taken from every request that comes after.
+	// workWeight is the cost of a second of prefill relative to a second of waiting.
+	// Prefill costs more because it delays every later request on the engine.
 	workWeight = 4
-	// answerWorth is how many target latencies of engine time an answer in time is
-	// worth: to save one that would be lost, others may wait for so long in all.
+	// answerValueFactor is the value of a timely answer in engine time, as a multiple of
+	// the target latency: other requests may wait that long in total to save one answer.
 	answerWorth = 4
 )
 
-// exchange builds what the driver needs of an admitted request.
+// exchange returns the exchange.Request for an admitted request.
 func (proxy *Proxy) exchange(admitted *admitted, caller exchange.Caller) exchange.Request {
 	route := admitted.route
 	return exchange.Request{
@@ -81,8 +82,8 @@
 	}
 }
 
-// retryAfter is when a caller that was refused should come back: soon enough to
-// be served in time, and late enough for a queue to have moved on.
+// retryAfter returns the retry delay for refused callers: short enough that a retry can
+// still be served in time, and long enough for queues to have drained a little.
 func retryAfter(route *catalog.Route) time.Duration {
 	return max(50*time.Millisecond, route.TargetLatency/4)
 }
@@ -91,14 +92,14 @@
 type placer struct {
 	proxy    *Proxy
 	admitted *admitted
-	// pieces holds the shared parts of the prompt as they are named at each version.
+	// pieces caches the keys of the prompt's shared parts by version of the weights.
 	pieces map[int64][]residency.Piece
-	// stored holds how much of it the store of kept KV cache has at each version.
+	// storedTokens caches how many shared tokens the KV cache store holds, by version.
 	stored map[int64]int
-	// comeBack is when the caller is to come back that meets the limits of all servers; zero if it
-	// has not met them.
+	// retryAt is when the caller was told to retry because all servers were at their
+	// request limits; zero if that has not happened.
 	comeBack time.Time
-	// excluded names the servers that have been tried.
+	// excluded lists the servers that were already tried.
 	excluded []string
 }
 
@@ -106,16 +107,16 @@
 	return &placer{proxy: proxy, admitted: admitted, pieces: map[int64][]residency.Piece{}, stored: map[int64]int{}}
 }
 
-// Place filters, scores and picks among the servers known now.
+// Place chooses the cheapest available server and begins an attempt on it.
 func (placer *placer) Place(excluded []string) (exchange.Placement, *exchange.Unplaced) {
 	placer.excluded = excluded
 	now := boottime.Now()
 	if verdict := placer.proxy.heldOff(placer.admitted, now); verdict.Held {
 		return nil, &exchange.Unplaced{Reason: heldOffProblem(verdict), Lasting: true}
 	}
-	// A suspension stops the timer that would have ended the request.
+	// The timer that ends the request does not advance while the machine is suspended.
 	if !now.Before(placer.admitted.deadline) {
-		return nil, &exchange.Unplaced{Reason: "the request's time is over", Lasting: true}
+		return nil, &exchange.Unplaced{Reason: "the request's deadline has passed", Lasting: true}
 	}
 	scheduler, request := routing.NewScheduler(placer.scorers()...), placer.routingRequest()
 	for look := 1; look <= mostLooks; look++ {
@@ -133,44 +134,46 @@
 			return nil, unplaced
 		}
 	}
-	return nil, &exchange.Unplaced{Reason: "servers fill up faster than the request is placed"}
+	return nil, &exchange.Unplaced{Reason: "servers filled up with other requests during placement"}
 }
 
 const (
-	// neighbourhood is how many servers of a large service a request chooses from. The best
-	// of 64 that are drawn by its prompt is as good as the best of thousands while a few in a
-	// hundred are busy: of five zones each has a dozen in it, and a third of all may be dark
-	// at once without a neighbourhood that is all dark (1 in 10^30). To look at all of 10,000
-	// takes 9.8 ms and 2.8 MB, to look at 64 some 40 us and 18 kB (BenchmarkPlace).
+	// subsetSize is the number of servers of a large service that a request chooses from.
+	// The best of 64 is as good as the best of thousands while a few percent are busy: with
+	// five zones, about 12 are in each, and with a third of all servers unreachable, all 64
+	// are with probability 1e-30. Placement among 64 takes about 40 us and 18 kB, among
+	// 10,000 it takes 9.8 ms and 2.8 MB (BenchmarkPlace).
 	neighbourhood = 64
-	// widening is by how much the neighbourhood grows if none of it takes the request.
+	// subsetGrowth is the factor by which the subset grows if none of its servers accepts
+	// the request.
 	widening = 4
-	// mostLooks is how often a placement looks at the servers if others are placed at the one that
-	// it chose before it is. From the second look on, placements take turns, so that they lose
-	// to first looks only; the last look asks only whether the server takes the request.
+	// maxPlacementRounds bounds the rounds of a placement whose choice is invalidated by
+	// concurrent placements on the same server. From the second round on, placements hold
+	// conflictMutex, so that they can lose only to first rounds. The last round requires
+	// only that the server accepts the request.
 	mostLooks = 4
 )
 
-// choice is one look at the servers, and what was decided by it.
+// selection is one round of placement: a snapshot of the candidates and the decision.
 type choice struct {
 	scheduler  *routing.Scheduler
 	request    *routing.Request
 	candidates []routing.Candidate
 	decision   routing.Decision
-	// strict says that the chosen server must still be the best when the attempt begins there, and
-	// not only take the request.
+	// strict requires that the chosen server is still the cheapest when the attempt begins,
+	// and not only that it still accepts the request.
 	strict bool
-	// lastResort says that all servers that are left rest after failures.
+	// lastResort is set if the circuit breakers of all remaining servers are open.
 	lastResort bool
 }
 
-// schedule chooses among the candidates.
+// schedule runs the scheduler on the candidates.
 func (c *choice) schedule() { c.decision = c.scheduler.Schedule(c.request, c.candidates) }
 
-// chosen is the chosen candidate.
+// chosen returns the chosen candidate.
 func (c *choice) chosen() *routing.Candidate { return &c.candidates[c.decision.Index] }
 
-// stands reports whether the choice would be the same with the chosen server as it is now.
+// stillValid reports whether the decision holds with the current state of the chosen server.
 func (c *choice) stands(current *routing.Candidate) bool {
 	if current.Version != c.chosen().Version {
 		return false
@@ -187,9 +190,10 @@
 	return c.scheduler.Cost(c.request, current) <= c.scheduler.Cost(c.request, &c.candidates[c.decision.Next])
 }
 
-// choose looks at the servers and begins at the best of them. It looks at the neighbourhood of
-// the prompt, which is the same for all nodes, and further only if nothing there takes the request
-// or if slots are scarce there. Without a placement and a reason, the choice did not stand.
+// selectAndBegin begins an attempt on the cheapest server of the prompt's subset, which is the
+// same on all nodes. It widens the subset only if none of its servers accepts the request or if
+// slots are scarce. If it returns neither a placement nor a reason, a concurrent placement
+// invalidated the decision.
 func (placer *placer) choose(choice *choice, excluded []string, now time.Time) (*placement, *exchange.Unplaced) {
 	query := placer.query(now)
 	for query.Most = neighbourhood; ; query.Most *= widening {
@@ -203,7 +207,7 @@
 			placed.attempt.End(exchange.ResultNeutral, now)
 		}
 		if len(choice.candidates) == 0 {
-			return nil, &exchange.Unplaced{Reason: "no server is known"}
+			return nil, &exchange.Unplaced{Reason: "no server of the service is registered"}
 		}
 		if all {
 			return nil, placer.unplaced(choice.candidates, choice.decision, now)
@@ -211,8 +215,8 @@
 	}
 }
 
-// elsewhere reports whether a server of the neighbourhood takes the request now that has not been
-// tried and is not the given one.
+// hasAlternative reports whether the subset has another server that was not yet tried and
+// accepts the request now.
 func (placer *placer) elsewhere(server string) bool {
 	now := boottime.Now()
 	choice := &choice{scheduler: routing.NewScheduler(placer.scorers()...), request: placer.routingRequest()}
@@ -224,7 +228,7 @@
 	return choice.decision.Index >= 0
 }
 
-// look returns the servers as they are now, with what is known of the prompt at each.
+// loadCandidates returns the current state of the servers, annotated for the request.
 func (placer *placer) look(query backend.Query, excluded []string, now time.Time) []routing.Candidate {
 	candidates := placer.proxy.set.Candidates(nil, query, now)
 	routing.Exclude(candidates, excluded)
@@ -236,8 +240,9 @@
 	return candidates
 }
 
-// decide reports whether one of the candidates is best. If they are all that there are, one that
-// rests is better than none, but it is only probed: all that come at once would fail with it.
+// selectCandidate runs the scheduler and reports whether it chose a candidate. If the candidates
+// are all servers of the service and none is accepted, those with an open circuit breaker become
+// eligible. Each of them gets one probe at a time, since all concurrent requests would fail with it.
 func (placer *placer) decide(choice *choice, all bool) bool {
 	choice.schedule()
 	if !all && (choice.decision.Index < 0 || routing.Scarce(choice.candidates)) {
@@ -253,7 +258,7 @@
 	return choice.decision.Index >= 0
 }
 
-// explain says what decided the placement.
+// describe returns the record of a placement for the Recorder.
 func (placer *placer) explain(c *choice, placed *placement, looks int) Choice {
 	explained := Choice{
 		Chosen: placed.chosen, Terms: c.scheduler.Terms(c.request, &placed.chosen), Deferred: placed.deferred,
@@ -266,16 +271,15 @@
 	return explained
 }
 
-// returnSpread is the part of a rest over which the callers that were refused for it spread
-// their return.
+// retryJitter is the fraction of a backoff over which the retries of refused callers are spread.
 const returnSpread = 0.25
 
-// unplaced says why no candidate takes the request. To wait helps only if one of them may take
-// it while the request waits. If all that are left have asked for rest, the caller is told when
-// the first of them will be back; callers return one after the other, since the server starts
-// with few.
+// unplaced returns why no candidate accepts the request. Waiting helps only if a candidate can
+// become available while the request waits. If all remaining servers have requested a backoff,
+// RetryAfter is the end of the shortest one, plus jitter, since servers accept few requests at
+// first after a backoff.
 func (placer *placer) unplaced(candidates []routing.Candidate, decision routing.Decision, now time.Time) *exchange.Unplaced {
-	unplaced := &exchange.Unplaced{Reason: "every server is " + string(decision.Refused), Lasting: true}
+	unplaced := &exchange.Unplaced{Reason: "no server is eligible: " + string(decision.Refused), Lasting: true}
 	tried := false
 	var limited []uint64
 	shortest := time.Duration(math.MaxInt64)
@@ -298,7 +302,7 @@
 		return placer.overLimits(unplaced, limited, shortest, now)
 	}
 	if tried {
-		// A new try may go there.
+		// A retry by the caller may use a server that this request has already tried.
 		unplaced.RetryAfter = 0
 	}
 	unplaced.Lasting = unplaced.RetryAfter == 0 || unplaced.RetryAfter > placer.admitted.route.TargetLatency/placementPart
@@ -306,10 +310,10 @@
 	return unplaced
 }
 
-// draw returns a number from 0 to 1 that is a request's own.
+// hashFraction maps a request ID to a number from 0 to 1.
 func draw(id string) float64 { return float64(prefix.KeyOf(id)) / math.MaxUint64 }
 
-// annotate adds what is known of the prompt's parts at each server.
+// annotate fills in the candidates' affinity, cache hits, import sources and replaced loss.
 func (placer *placer) annotate(candidates []routing.Candidate, now time.Time) {
 	key := placer.affinityKey()
 	clear(placer.stored)
@@ -323,7 +327,8 @@
 	placer.annotateSources(candidates, now)
 }
 
-// begin counts the attempt at the chosen server, or returns nil if the choice does not stand.
+// begin registers an attempt on the chosen server. It returns nil if the decision is no longer
+// valid.
 func (placer *placer) begin(choice *choice, query backend.Query, now time.Time) *placement {
 	chosen := *choice.chosen()
 	deferred, tokens := placer.deferred(choice.request, &chosen, now), 0
@@ -372,8 +377,8 @@
 	return request
 }
 
-// importSpeed is how many tokens of kept KV cache an engine takes from the store
-// in a second. The store's own link is shared by all engines, so it counts too.
+// storeImportRate returns how many tokens per second an engine can import from a KV cache
+// store. It is bounded by the link of the engine and by that of the store.
 func importSpeed(engine *catalog.Engine, store *catalog.PrefixStore) float64 {
 	if engine == nil || store == nil || engine.TokenBytes <= 0 {
 		return 0
@@ -385,7 +390,7 @@
 	return bits / 8 / engine.TokenBytes
 }
 
-// query says which servers may serve the request.
+// query returns the server query for the request.
 func (placer *placer) query(now time.Time) backend.Query {
 	query := backend.Query{Service: placer.admitted.service.Name, Distance: placer.proxy.distance}
 	prompt := placer.prompt()
@@ -399,21 +404,21 @@
 	return query
 }
 
-// minimumVersion is the oldest version of a model's weights that may serve now.
-// It follows the newest belief, not the one that the request was admitted by.
+// minimumVersion returns the oldest version of a model's weights that may serve now.
+// It uses the latest replica, not the one with which the request was admitted.
 func (proxy *Proxy) minimumVersion(model string, now time.Time) int64 {
 	belief := proxy.belief.Load()
 	tolerated := proxy.bounds.Weights - weightsMargin
 	if now.Sub(belief.Disturbed) < tolerated {
 		return 0
 	}
-	// What was found at the first reading may have been named at any time before.
+	// A version found by the first read may have been released at any earlier time.
 	found := proxy.started.Add(proxy.bounds.Contact - contactMargin - tolerated)
 	return belief.Weights[model].Required(now.Add(-tolerated), found)
 }
 
-// replacedLoss is the share of an answer's worth that is lost if it is begun now on
-// a version of a model's weights.
+// replacedLoss returns the share of an answer's value that is lost if it is begun now
+// with a version of a model's weights.
 func (proxy *Proxy) replacedLoss(model string, version int64, now time.Time) float64 {
 	naming, replaced := proxy.belief.Load().Weights[model].After(version)
 	if !replaced || (!naming.NotNamedAt.IsZero() && now.Sub(naming.NotNamedAt) < proxy.bounds.ReplacedGrace) {
@@ -422,8 +427,8 @@
 	return proxy.bounds.ReplacedLoss
 }
 
-// lastStart is when a request must have begun on a version of a model's weights;
-// zero if it is the newest.
+// startDeadline returns the time by which a request must have begun on a version of a
+// model's weights, or zero if the version is the newest.
 func (proxy *Proxy) lastStart(model string, version int64) time.Time {
 	belief := proxy.belief.Load()
 	naming, replaced := belief.Weights[model].After(version)
@@ -434,8 +439,8 @@
 	if !since.IsZero() {
 		return since.Add(proxy.bounds.Weights - startMargin)
 	}
-	// It may have been named at any time before the start; but what was disturbed
-	// since counts from then, as in minimumVersion.
+	// The newer version may have been released at any time before this node started, but a
+	// disruption of the store since then restarts the bound, as in minimumVersion.
 	last := proxy.started.Add(proxy.bounds.Contact - startMargin)
 	if disturbed := belief.Disturbed.Add(proxy.bounds.Weights - startMargin); disturbed.After(last) {
 		return disturbed
--- a/internal/proxy/placer_bench_test.go
+++ b/internal/proxy/placer_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPlace is the time and the allocations of one placement among so many servers.
+// BenchmarkPlace measures the time and the allocations of one placement by number of servers.
 func BenchmarkPlace(b *testing.B) {
 	for _, servers := range []int{24, 90, 240, 720, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// BenchmarkPlaceOnAllProcessors is the time of one placement, while all processors place requests
-// with the same prompt among so many servers.
+// BenchmarkPlaceOnAllProcessors measures the time of one placement while all processors place
+// requests with the same prompt, by number of servers.
 func BenchmarkPlaceOnAllProcessors(b *testing.B) {
 	for _, servers := range []int{12, 9_998} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/proxy/pace.go
+++ b/internal/proxy/prefillrate.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// assumedPrefill is the speed, in tokens a second, that engines are taken to
-	// read prompts at before one was seen.
+	// defaultPrefillRate is the prefill rate, in tokens per second, that is assumed
+	// before the first measurement.
 	assumedPrefill = 20_000
-	// measuredTokens is the least work from which a speed is learned: below it the
-	// time is that of other things.
+	// minSampleTokens is the smallest prefill that is measured. Fixed overheads
+	// dominate the time of shorter ones.
 	measuredTokens = 1_000
-	// paceGain is the weight of a new measurement.
+	// prefillRateGain is the weight of a new measurement in the moving average.
 	paceGain = 0.1
 )
 
-// pace learns how fast engines read prompts, from the time to the first event
-// of requests that found their engine idle.
+// prefillRate estimates the prefill rate of engines from the time to the first
+// event of requests that were sent to an idle engine.
 type pace struct {
 	mutex sync.Mutex
 	speed float64
@@ -25,7 +25,7 @@
 
 func newPace() *pace { return &pace{speed: assumedPrefill} }
 
-// measure takes the time in which an idle engine read a prompt.
+// observe records how long the prefill of a prompt took on an idle engine.
 func (pace *pace) measure(tokens int, took time.Duration) {
 	if tokens < measuredTokens || took <= 0 {
 		return
@@ -35,14 +35,14 @@
 	pace.speed += paceGain * (float64(tokens)/took.Seconds() - pace.speed)
 }
 
-// tokensPerSecond returns the learned speed.
+// tokensPerSecond returns the estimated rate.
 func (pace *pace) tokensPerSecond() float64 {
 	pace.mutex.Lock()
 	defer pace.mutex.Unlock()
 	return pace.speed
 }
 
-// timeOf is how long an engine takes to read a number of tokens if it does nothing else.
+// timeFor returns the estimated prefill time of a number of tokens on an idle engine.
 func (pace *pace) timeOf(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / pace.tokensPerSecond() * float64(time.Second))
 }
--- a/internal/proxy/prompt.go
+++ b/internal/proxy/prompt.go
@@ -7,7 +7,7 @@
 	"github.com/cloverrail/cloverrail/internal/residency"
 )
 
-// prompt is nil for requests to plain services.
+// prompt returns the request's prompt, or nil for requests to plain services.
 func (placer *placer) prompt() *Prompt {
 	if placer.admitted.service.Engine == nil {
 		return nil
@@ -15,7 +15,7 @@
 	return placer.admitted.request.Prompt
 }
 
-// named returns the shared parts as they are named at a version.
+// piecesAt returns the cache keys of the shared parts at a version of the weights.
 func (placer *placer) named(version int64) []residency.Piece {
 	if pieces, found := placer.pieces[version]; found {
 		return pieces
@@ -29,7 +29,7 @@
 	return pieces
 }
 
-// shared returns the parts that other requests may have in common with this one.
+// sharedParts returns the parts that other requests may share: all but the last.
 func (placer *placer) shared() []Part {
 	parts := placer.admitted.request.Prompt.Parts
 	if len(parts) == 0 {
@@ -38,7 +38,7 @@
 	return parts[:len(parts)-1]
 }
 
-// sharedTokens is the length of the shared parts.
+// sharedTokens returns the length of the shared parts in tokens.
 func (placer *placer) sharedTokens() int {
 	tokens := 0
 	for _, part := range placer.shared() {
@@ -47,7 +47,8 @@
 	return tokens
 }
 
-// affinityKey is the last shared part: requests that share it, share all before.
+// affinityKey returns the rendezvous key of the last shared part. Requests that share
+// this part also share all parts before it.
 func (placer *placer) affinityKey() prefix.Hash {
 	shared := placer.shared()
 	if len(shared) == 0 {
@@ -56,8 +57,9 @@
 	return prefix.KeyOf(placer.wall() + "/" + shared[len(shared)-1].ID)
 }
 
-// neighbourhoodKey is the first shared part: requests that share it choose from the same
-// servers, so that it is read in few places and fetched from near ones.
+// subsetKey returns the key of the first shared part. Requests that share this part choose
+// from the same subset of servers, so that few servers compute it and others can import it
+// from nearby.
 func (placer *placer) neighbourhoodKey() prefix.Hash {
 	shared := placer.shared()
 	if len(shared) == 0 {
@@ -66,7 +68,8 @@
 	return prefix.KeyOf(placer.wall() + "/" + shared[0].ID)
 }
 
-// wall is the tenant's name if nothing that is cached for it may be shared.
+// cacheScope returns the tenant's name if the tenant is isolated, which keeps its cached
+// prefixes from being shared with others, and else "".
 func (placer *placer) wall() string {
 	tenant := placer.admitted.tenant
 	if tenant == nil || !tenant.Isolated {
@@ -75,7 +78,8 @@
 	return tenant.Name
 }
 
-// salt keeps cached prefixes of different walls, models and versions apart.
+// salt returns the salt that separates cached prefixes of different cache scopes, models
+// and versions.
 func (placer *placer) salt(version int64) string {
 	return prefix.Salt(nil, prefix.Identity{
 		Tenant:  placer.wall(),
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy serves requests of opaque services: it finds the route, checks
-// the key, and carries the request to a server and the answer back, byte for
-// byte. It knows no protocol; adapters translate.
+// Package proxy serves requests to opaque services: it finds the route, checks the
+// API key, and forwards the request to a server and the response back unchanged. It
+// is independent of wire protocols, which are implemented by adapters.
 package proxy
 
 import (
@@ -21,115 +21,119 @@
 	"github.com/cloverrail/cloverrail/internal/residency"
 )
 
-// Part is one part of a prompt, shared with other requests or their own.
+// Part is one segment of a prompt. Requests with the same part ID share its content.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request tells of its prompt.
+// Prompt describes the prompt of a request.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt; Output, the most tokens to answer.
+	// Tokens is the length of the prompt, and Output the maximum length of the answer.
 	Tokens int
 	Output int
-	// Parts are in the order of the prompt. The last is the request's own.
+	// Parts are in prompt order. The last part is specific to the request.
 	Parts []Part
 }
 
 // Request is a caller's request.
 type Request struct {
-	// ID names this one try of the caller.
+	// ID identifies this attempt by the caller.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path and query as sent; Path, the path alone.
+	// Target is the path and query as sent, and Path the path alone.
 	Target string
 	Path   string
-	// Header holds what goes on to the server.
+	// Header holds the header fields to forward to the server.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's key, or "".
+	// Key is the caller's API key, or "".
 	Key string
-	// Patience is how long the caller waits from Arrived on; 0 means no bound.
+	// CallerTimeout is how long the caller waits from Arrived on; 0 means no bound.
 	Patience time.Duration
 	Arrived  time.Time
 	// Prompt is nil for requests without one.
 	Prompt *Prompt
-	// ResumeAfter is the last event that the caller has of an earlier answer.
+	// ResumeAfter is the ID of the last event that the caller received of an earlier
+	// response, or nil.
 	ResumeAfter *int64
 }
 
-// Dispatch is one attempt as it goes to a server.
+// Dispatch is one attempt as it is sent to a server.
 type Dispatch struct {
 	Request *Request
-	// Instance must be the id of the server that answers, and Server names its incarnation.
+	// Instance is the ID that the responding server must have, and Server the name of its
+	// incarnation.
 	Instance string
 	Server   string
 	Address  string
 	Stream   bool
 	// Tenant is empty on public routes.
 	Tenant string
-	// Deadline is when the server may stop working.
+	// Deadline is when the server may abandon the request.
 	Deadline time.Time
-	// Urgency is from 0, the most urgent, to 9.
+	// Urgency ranges from 0, the most urgent, to 9.
 	Urgency int
-	// Version must be the loaded version of the prompt's model.
+	// Version is the version of the prompt's model that the server must have loaded.
 	Version int64
-	// Salt keeps cached prefixes of different walls and versions apart.
+	// Salt separates cached prefixes of different cache scopes and versions.
 	Salt string
-	// FetchFrom and SaveTo name holders of kept KV cache, or are "".
+	// FetchFrom and SaveTo are addresses to import KV cache from and to save it to, or "".
 	FetchFrom string
 	SaveTo    string
-	// Resumes says that the stream goes on after the event After.
+	// Resumes is set if the stream continues after the event with the ID After.
 	Resumes bool
 	After   int64
-	// Repeatable says that a kept connection may be used: should it break, the
-	// request can be sent again.
+	// Repeatable is set if the request may be sent again. Only such requests may use a
+	// keep-alive connection, which can break after the request was sent.
 	Repeatable bool
 }
 
-// Servers sends attempts. Its errors are those of package exchange.
+// Servers sends attempts. Send returns the error types of package exchange.
 type Servers interface {
 	Send(ctx context.Context, dispatch Dispatch) (*exchange.Reply, error)
-	// Refuses reports whether nothing takes connections at an address, for certain.
+	// RefusesConnections reports whether it is certain that nothing accepts connections
+	// at an address.
 	Refuses(address string) bool
 }
 
-// Bounds are the promises that the proxy keeps, in time.
+// Bounds are the time limits that the proxy guarantees.
 type Bounds struct {
-	// Revocation is the longest time for which a removed key may still be served.
+	// Revocation is the maximum time for which a removed key may still be accepted.
 	Revocation time.Duration
-	// Configuration is the longest time for which an older declaration may be used.
+	// Configuration is the maximum time for which an outdated declaration may be used.
 	Configuration time.Duration
-	// Weights is the longest time for which older weights may serve.
+	// Weights is the maximum time for which replaced weights may serve.
 	Weights time.Duration
-	// ReplacedGrace is the time after the naming of newer weights in which answers on
-	// older ones are worth as much, and ReplacedLoss the share of their worth that is
-	// lost after it.
+	// ReplacedGrace is the time after the release of newer weights during which answers
+	// on older ones keep their full value, and ReplacedLoss the share of the value that
+	// is lost after that.
 	ReplacedGrace time.Duration
 	ReplacedLoss  float64
-	// Contact is the time after its start in which a node is not yet held to what
-	// it cannot know.
+	// StartupGrace is the time after startup during which the guarantees do not cover
+	// changes that the node cannot know yet.
 	Contact time.Duration
 }
 
 const (
-	// answerMargin is kept free below the bounds for what happens after a check.
+	// answerMargin is subtracted from the bounds for the time between a check and its use.
 	answerMargin = 500 * time.Millisecond
-	// weightsMargin is the longest wait in a server's queue that is allowed for.
+	// weightsMargin is subtracted from the bound on weights for the wait in a server's queue.
 	weightsMargin = 1500 * time.Millisecond
-	// startMargin is kept free below the bound on weights for ending a request that
+	// startMargin is subtracted from the bound on weights for cancelling a request that
 	// has not begun.
 	startMargin = 300 * time.Millisecond
-	// contactMargin is kept free below Bounds.Contact. Until then a node tolerates
-	// any weights, since it cannot know when the newest were named.
+	// startupGraceMargin is subtracted from Bounds.StartupGrace. Until then a node accepts any
+	// weights, since it cannot know when the newest were released.
 	contactMargin = 300 * time.Millisecond
-	// firstWait is how long after its start a node lets a request wait for the first
-	// reading of the declaration, and firstLook is the time between two looks.
+	// maxConfigurationWait is how long after startup requests may wait for the first read
+	// of the declaration, and configurationPollInterval the interval between checks.
 	firstWait = 300 * time.Millisecond
 	firstLook = 5 * time.Millisecond
-	// soon is when to come back for a node that is catching up.
+	// catchUpRetryAfter is the retry delay for callers while the node is stopping or its
+	// configuration is missing or stale.
 	soon = 100 * time.Millisecond
 )
 
@@ -152,17 +156,17 @@
 	requests *quarantine.Ledger
 	unsure   quarantine.Unsure
 	lapse    time.Duration
-	// replacing is held by a placement whose choice did not stand.
+	// conflictMutex serializes placements that lost their first round to another placement.
 	replacing sync.Mutex
 	asking    sync.Mutex
-	// asked is how a server was asked last whether it takes connections, by address.
+	// probes holds the latest connection probe of each server, by address.
 	asked    map[string]*question
 	stopping chan struct{}
 	open     atomic.Int64
 	refusing atomic.Bool
 }
 
-// Options are the parts of a proxy.
+// Options are the dependencies and settings of a Proxy.
 type Options struct {
 	Belief   *catalog.Holder
 	Set      *backend.Set
@@ -173,18 +177,18 @@
 	Recorder Recorder
 	Ledger   *residency.Ledger
 	Limiter  *quota.Limiter
-	// Limits is what servers take, by their own word. Servers are named by their
-	// backend.ServerKey.
+	// ServerLimits are the request limits that servers advertise, by backend.ServerKey.
 	Limits *quota.Servers
-	// Requests is what requests have done to servers, and Unsure what its verdicts ask of
-	// servers, which are named by their backend.ServerKey.
+	// Quarantine tracks which requests have crashed servers, and Unconfirmed tells its
+	// verdicts whether a crash is not yet confirmed. Servers are identified by their
+	// backend.ServerKey.
 	Requests *quarantine.Ledger
 	Unsure   quarantine.Unsure
-	// Lapse is the time after which the entry of a server that has ended is gone.
+	// EntryTTL is the time after which the registration of a crashed server has expired.
 	Lapse time.Duration
 }
 
-// New returns a proxy.
+// New returns a Proxy with the given options.
 func New(options Options) *Proxy {
 	return &Proxy{
 		belief:   options.Belief,
@@ -208,28 +212,29 @@
 	}
 }
 
-// Abort ends all open requests. It is called once, when a stop has no time left.
+// Abort ends all open requests when a shutdown runs out of time. It must be called at
+// most once.
 func (proxy *Proxy) Abort() { close(proxy.stopping) }
 
-// Open returns the number of requests in service.
+// Open returns the number of open requests.
 func (proxy *Proxy) Open() int { return int(proxy.open.Load()) }
 
-// AwaitFirst waits until a node that has just started knows its declaration, but not
-// for long: callers reach it before it has read anything.
+// AwaitConfiguration waits until the first declaration is loaded, at most until
+// maxConfigurationWait after startup. Callers may reach a node before it has read one.
 func (proxy *Proxy) AwaitFirst(ctx context.Context) {
 	for proxy.unread() && ctx.Err() == nil && boottime.Since(proxy.started) < firstWait {
 		pause.For(ctx, firstLook)
 	}
 }
 
-// unread reports whether no declaration was read yet.
+// awaitingConfiguration reports whether no declaration has been loaded yet.
 func (proxy *Proxy) unread() bool {
 	belief := proxy.belief.Load()
 	return belief == nil || belief.Snapshot == nil
 }
 
-// Limits returns the bounds of what callers may send. Before they are known
-// nothing may be read.
+// Limits returns the size limits and timeouts of requests. Until they are known, no
+// request may be read.
 func (proxy *Proxy) Limits() (catalog.Limits, *failure.Failure) {
 	if proxy.unread() {
 		return catalog.Limits{}, unconfigured()
@@ -237,13 +242,13 @@
 	return proxy.belief.Load().Snapshot.Limits, nil
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether load balancers should send requests to this node.
 func (proxy *Proxy) Ready(now time.Time) bool {
 	belief := proxy.belief.Load()
 	return belief != nil && belief.Snapshot != nil && belief.Fresh(now, proxy.bounds.Revocation-answerMargin)
 }
 
-// admitted is a request that may be served, with what decided it.
+// admitted is a request that passed admission, with the configuration that applies to it.
 type admitted struct {
 	request  *Request
 	belief   *catalog.Belief
@@ -251,11 +256,12 @@
 	service  *catalog.Service
 	tenant   *catalog.Tenant
 	deadline time.Time
-	// print is the request's fingerprint, or 0 while nobody has asked for it.
+	// print caches the request's fingerprint; 0 if it has not been computed.
 	print quarantine.Fingerprint
 }
 
-// Serve carries a request to its end. The context ends when the caller leaves.
+// Serve processes a request to completion. The context must end when the caller
+// disconnects.
 func (proxy *Proxy) Serve(ctx context.Context, request *Request, caller exchange.Caller) exchange.Outcome {
 	proxy.open.Add(1)
 	defer proxy.open.Add(-1)
@@ -286,11 +292,11 @@
 	return outcome
 }
 
-// admit decides whether a request may be served. Only a node whose declaration
-// is certainly current says that a route or key does not exist.
+// admit checks whether a request may be served. Only a node whose declaration is known
+// to be current rejects a request because its route or key does not exist.
 func (proxy *Proxy) admit(request *Request, now time.Time) (*admitted, *failure.Failure) {
 	if proxy.refusing.Load() {
-		return nil, failure.New(failure.KindStopping, "this node stops", "send the request to another node").WithRetryAfter(soon)
+		return nil, failure.New(failure.KindStopping, "this node is shutting down", "send the request to another node").WithRetryAfter(soon)
 	}
 	belief := proxy.belief.Load()
 	if belief == nil || belief.Snapshot == nil {
@@ -302,7 +308,7 @@
 		if !current {
 			return nil, catchingUp("this node's configuration may be out of date")
 		}
-		return nil, failure.New(failure.KindNotFound, "no route fits the host and path", "declare a route, or correct the address")
+		return nil, failure.New(failure.KindNotFound, "no route matches the host and path", "declare a route, or correct the address")
 	}
 	tenant, refusal := proxy.authenticate(request, belief, route, now, current)
 	if refusal != nil {
@@ -319,10 +325,10 @@
 	if route.Public || !belief.Snapshot.Keyed() {
 		return nil, nil
 	}
-	// A key may have been taken away since the belief was true. The caller sent
-	// the request before now, so this check stands whenever the request goes out.
+	// The key may have been removed since the replica was current. The caller sent the
+	// request before now, so the result remains valid whenever the request is forwarded.
 	if !belief.Fresh(now, proxy.bounds.Revocation-answerMargin) {
-		return nil, catchingUp("this node cannot tell whether keys are still valid")
+		return nil, catchingUp("this node cannot verify that API keys are still valid")
 	}
 	tenant := belief.Snapshot.TenantOf(request.Key)
 	switch {
@@ -331,19 +337,19 @@
 	case !current:
 		return nil, catchingUp("this node's configuration may be out of date")
 	default:
-		return nil, failure.New(failure.KindUnauthorized, "the key is not known", "send a key that a tenant holds")
+		return nil, failure.New(failure.KindUnauthorized, "unknown API key", "send an API key of a declared tenant")
 	}
 }
 
 func unconfigured() *failure.Failure {
-	return catchingUp("this node has not read its configuration yet")
+	return catchingUp("this node has not loaded its configuration yet")
 }
 
 func catchingUp(problem string) *failure.Failure {
 	return failure.New(failure.KindNotConfigured, problem, "send the request to another node").WithRetryAfter(soon)
 }
 
-// unboundedPatience is used where neither the caller nor the route sets a bound.
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
 const unboundedPatience = 10 * time.Minute
 
 func deadline(request *Request, route *catalog.Route) time.Time {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,7 +23,7 @@
 			nodes[index].Resize(len(nodes))
 		}
 		step := 100 * time.Millisecond
-		// Servers fail all the time, or now and then, when retries have been saved up.
+		// Servers fail either continuously, or intermittently so that retries are saved in between.
 		failingEvery := rapid.IntRange(1, 150).Draw(t, "failing every")
 		failingFor := rapid.IntRange(1, 30).Draw(t, "failing for")
 		requests, repeats := []int{}, []int{}
@@ -49,7 +49,7 @@
 		window := int(bounds.Window / step)
 		for end := window; end <= len(requests); end++ {
 			allowed := bounds.Ratio*float64(sum(requests[end-window:end])) + bounds.Extra
-			// What was earned in the window before, or half a window before, may be spent in this one.
+			// Retries earned in the previous window, or up to half a window ago, may be spent in this one.
 			for _, earlier := range []int{window, window / 2} {
 				before := requests[max(0, end-window-earlier) : end-earlier]
 				allowed = max(allowed, bounds.Ratio*float64(sum(before))+bounds.Extra)
@@ -102,7 +102,7 @@
 	require.InDelta(t, 50_000, pace.tokensPerSecond(), 500)
 }
 
-// at returns a proxy that believes a declaration as of a time.
+// newTestProxy returns a proxy whose replica was current at the given time.
 func at(asOf time.Time, weights catalog.Namings) *Proxy {
 	holder := &catalog.Holder{}
 	holder.Store(&catalog.Belief{
@@ -134,7 +134,7 @@
 			admitted, refusal := proxy.admit(request, now)
 			if kind == "" {
 				require.Nil(t, refusal)
-				require.Equal(t, now.Add(time.Second), admitted.deadline, "the route's time")
+				require.Equal(t, now.Add(time.Second), admitted.deadline, "the route's timeout")
 				continue
 			}
 			require.Equal(t, kind, string(refusal.Kind), "%s after %s", what, age)
@@ -145,17 +145,17 @@
 func TestOldWeightsServeOnlyForAWhile(t *testing.T) {
 	start := time.Now()
 	proxy := at(start, catalog.Namings{{Version: 4}, {Version: 5, NotNamedAt: start}, {Version: 6, NotNamedAt: start.Add(4 * time.Second)}})
-	require.Equal(t, int64(0), proxy.minimumVersion("m", start.Add(time.Second)), "nobody knows when 4 was named")
+	require.Equal(t, int64(0), proxy.minimumVersion("m", start.Add(time.Second)), "the release time of 4 is unknown")
 	require.Equal(t, int64(4), proxy.minimumVersion("m", start.Add(3*time.Second)))
 	require.Equal(t, int64(5), proxy.minimumVersion("m", start.Add(7*time.Second)))
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(11*time.Second)))
 	require.Zero(t, proxy.minimumVersion("other", start.Add(time.Hour)))
-	require.Zero(t, proxy.lastStart("m", 6), "the newest may serve for ever")
+	require.Zero(t, proxy.lastStart("m", 6), "the newest version has no deadline")
 	require.Equal(t, start.Add(12*time.Second-startMargin), proxy.lastStart("m", 5))
 	require.Equal(t, start.Add(8*time.Second-startMargin), proxy.lastStart("m", 4))
 	require.Equal(t, proxy.started.Add(3*time.Second-startMargin), proxy.lastStart("m", 3))
 	proxy.belief.Store(catalog.Disturb(proxy.belief.Load(), start.Add(9*time.Second)))
-	require.Zero(t, proxy.minimumVersion("m", start.Add(11*time.Second)), "nobody could be moved while the store was away")
+	require.Zero(t, proxy.minimumVersion("m", start.Add(11*time.Second)), "a disruption of the store restarts the bound")
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(16*time.Second)))
 }
 
@@ -167,11 +167,12 @@
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 4, start.Add(1500*time.Millisecond)), 1e-9)
 	require.Zero(t, proxy.replacedLoss("m", 5, start.Add(5*time.Second)))
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 5, start.Add(5500*time.Millisecond)), 1e-9)
-	require.Zero(t, proxy.replacedLoss("m", 6, start.Add(time.Hour)), "the newest")
-	require.InDelta(t, 0.2, proxy.replacedLoss("m", 3, start), 1e-9, "nobody knows when 4 was named")
+	require.Zero(t, proxy.replacedLoss("m", 6, start.Add(time.Hour)), "the newest version")
+	require.InDelta(t, 0.2, proxy.replacedLoss("m", 3, start), 1e-9, "the release time of 4 is unknown")
 }
 
-// What is admitted must have time to begin, or it would be ended as soon as it is sent.
+// Guards against selecting a version whose start deadline has already passed, which would cancel
+// the request as soon as it is sent.
 func TestWhatMayServeMayAlsoBegin(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		start := time.Now()
@@ -179,7 +180,7 @@
 			return start.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, name)) * time.Millisecond)
 		}
 		second := catalog.Naming{Version: 2}
-		if rapid.Bool().Draw(t, "seen being named") {
+		if rapid.Bool().Draw(t, "release observed") {
 			second.NotNamedAt = moment("named")
 		}
 		proxy := at(start, catalog.Namings{{Version: 1}, second})
@@ -207,9 +208,9 @@
 		require.Equal(t, 30*time.Millisecond, time.Since(begun))
 		proxy = New(Options{Belief: &catalog.Holder{}})
 		proxy.AwaitFirst(t.Context())
-		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "not for ever")
+		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "the wait is bounded")
 		proxy.AwaitFirst(t.Context())
-		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "only after the start")
+		require.Equal(t, 30*time.Millisecond+firstWait, time.Since(begun), "it waits only after startup")
 	})
 }
 
@@ -226,6 +227,6 @@
 		require.InEpsilon(t, took.Seconds(), s.seconds(), 0.15)
 		learned := s.seconds()
 		s.measure(20 * time.Second)
-		require.Less(t, s.seconds()-learned, 0.51, "one run says little")
+		require.Less(t, s.seconds()-learned, 0.51, "a single run changes the estimate little")
 	})
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -14,26 +14,25 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// SettleTime is how long a server that closed a connection before its whole answer has to
-// answer something that was sent later. Servers do many times a second while they are in
-// use; the rest of the time until the whole fleet knows is the way between nodes.
+// LivenessCheckDelay is how long a server that closed a connection before its complete response
+// has to answer a request that was sent later. Servers in use answer many times per second. The
+// rest of the time until the whole fleet knows of a crash is propagation between nodes.
 const SettleTime = 500 * time.Millisecond
 
-// mostAsked bounds the servers that are remembered for having been asked. Above it, all are
-// forgotten.
+// maxCachedProbes bounds the cached connection probes. When it is reached, all are discarded.
 const mostAsked = 1024
 
-// Suspicion is a server that may have ended under a request.
+// Suspicion is the resolved suspicion that a server crashed while it ran a request.
 type Suspicion struct {
 	Fingerprint quarantine.Fingerprint
 	Server      string
-	// Ended is false if the server has answered what was sent later.
+	// Ended is false if the server has answered a request that was sent later.
 	Ended bool
-	// After is the time in which that was settled.
+	// After is the time from the suspicion to its resolution.
 	After time.Duration
 }
 
-// fingerprint is the same for all tries of the request.
+// fingerprint returns the request's fingerprint, which is the same for all its retries.
 func (admitted *admitted) fingerprint() quarantine.Fingerprint {
 	if admitted.print == 0 {
 		request := admitted.request
@@ -46,7 +45,8 @@
 	return admitted.print
 }
 
-// heldOff returns the verdict on a request. While nothing is suspected, it costs nothing.
+// quarantineVerdict returns the verdict on a request. It does not compute the fingerprint while
+// there are no suspicions.
 func (proxy *Proxy) heldOff(admitted *admitted, now time.Time) quarantine.Verdict {
 	if !proxy.requests.Active() {
 		return quarantine.Verdict{}
@@ -54,33 +54,33 @@
 	return proxy.requests.Judge(admitted.fingerprint(), proxy.unsure, now)
 }
 
-// checkQuarantine refuses a request under which servers have ended. It is refused as not
-// run, with the time at which it may be tried again: that servers ended is no proof, and
-// an answer that forbids to come back would be wrong for those that only ran beside.
+// checkQuarantine refuses a quarantined request as not run, with the time at which it may be
+// retried. A permanent rejection would be wrong, since crashes are no proof: the request may only
+// have run beside the one that caused them.
 func (proxy *Proxy) checkQuarantine(admitted *admitted, now time.Time) *failure.Failure {
 	verdict := proxy.heldOff(admitted, now)
 	if !verdict.Held {
 		return nil
 	}
 	proxy.recorder.HeldOff(admitted.request, admitted.fingerprint(), verdict)
-	return failure.New(failure.KindHeldOff, heldOffProblem(verdict), "change the request, or send it again after the time given").
+	return failure.New(failure.KindHeldOff, heldOffProblem(verdict), "change the request, or retry after the given delay").
 		WithRetryAfter(verdict.Until.Sub(now))
 }
 
 func heldOffProblem(verdict quarantine.Verdict) string {
 	if verdict.Ends == 0 {
-		return "servers have ended while they ran this request"
+		return "servers have crashed while running this request"
 	}
-	return fmt.Sprintf("%d servers have ended while they ran this request", verdict.Ends)
+	return fmt.Sprintf("%d servers have crashed while running this request", verdict.Ends)
 }
 
-// suspiciousEnds is how many servers must have ended under a request until it is kept apart from
-// others. One ends by chance with all that it runs, and what comes again after that is best
-// served where its prompt is cached.
+// isolationThreshold is the number of crashes under a request from which on it is isolated from
+// others. A single crash may be unrelated and affects every request on the server; their retries
+// are best served where their prompts are cached.
 const suspiciousEnds = 2
 
-// separate gives a request under which servers have ended an order of servers of its own. It is
-// the same at all nodes, so that two such requests rarely meet whoever sends them.
+// isolateSuspect gives a suspected request a server ranking of its own. The ranking is the same on
+// all nodes, so that two suspected requests rarely share a server, whichever nodes send them.
 func (placer *placer) separate(candidates []routing.Candidate) {
 	requests := placer.proxy.requests
 	if !requests.Active() {
@@ -96,10 +96,10 @@
 	}
 }
 
-// suspect takes that a server closed the connection before its whole answer to a request.
-// One that had begun to answer has ended unless it answers something later. One that had not
-// may only have had too many connections: a sign of its end is asked for, now and once its
-// entry has lapsed.
+// suspect records that a server closed the connection before its complete response to a request.
+// If the response had begun, the server counts as crashed unless it answers a later request. If
+// not, the server may only have had too many connections, so that its crash must be confirmed,
+// after LivenessCheckDelay or once its registration has expired.
 func (proxy *Proxy) suspect(admitted *admitted, server routing.Candidate, began bool, at time.Time) {
 	fingerprint, key := admitted.fingerprint(), backend.ServerKey(server.Endpoint)
 	settle := func(ended bool) {
@@ -121,18 +121,19 @@
 	})
 }
 
-// question asks a server once whether it takes connections. Who asks the same meanwhile gets the
-// same answer.
+// connectionProbe checks once whether a server accepts connections. Concurrent callers share its
+// result.
 type question struct {
 	at      time.Time
 	once    sync.Once
 	refused bool
 }
 
-// refuses reports whether a server refuses connections. One server is asked once in
-// SettleTime at most: one that is short of connections must not be asked for each of them. All
-// that ran at a server are settled by the same sign: were only the first, what is to blame might
-// become known seconds after those that ran beside it, which would seem to have been alone.
+// refusesConnections reports whether a server refuses connections. A server is probed at most
+// once per LivenessCheckDelay, so that one that is short of connections does not get a probe for
+// each broken one. The result resolves the suspicions of all requests that ran on the server. If
+// it resolved only the first, the culprit could become known seconds after the requests that ran
+// beside it, which would then seem to have run alone.
 func (proxy *Proxy) refuses(address string) bool {
 	asked := proxy.question(address, boottime.Now())
 	asked.once.Do(func() { asked.refused = proxy.servers.Refuses(address) })
@@ -153,7 +154,7 @@
 	return next
 }
 
-// served takes that a request had a whole answer.
+// clearSuspicion records that a request got a complete response.
 func (proxy *Proxy) served(admitted *admitted, now time.Time) {
 	if proxy.requests.Active() && proxy.requests.Served(admitted.fingerprint(), now) {
 		proxy.recorder.Cleared(admitted.request, admitted.fingerprint())
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// gone are servers that have all ended.
+// refusingServers are servers that have all crashed and refuse connections.
 type gone struct{ asked atomic.Int64 }
 
 func (g *gone) Send(context.Context, Dispatch) (*exchange.Reply, error) { return nil, context.Canceled }
@@ -25,7 +25,7 @@
 	return true
 }
 
-// settlements are the suspicions that were settled.
+// suspicionRecorder records resolved suspicions.
 type settlements struct {
 	unheeded
 	settled chan Suspicion
@@ -33,16 +33,10 @@
 
 func (s *settlements) Settled(suspicion Suspicion) { s.settled <- suspicion }
 
-// The incident: of two requests that a server ended under, before either had an answer's head, one
-// was known to the fleet 0.5 s later and the other seconds later, when the server's entry lapsed.
-//
-// How: a server is asked whether it takes connections once in half a second. Who was second took
-// that it was not to ask as if the server had been found to live.
-//
-// Cause: the time of the last question was remembered, and not its answer. If the second was the
-// one to blame, what ran beside it seemed to have run alone.
-//
-// Proof: the lines of suspicions that are settled, half a second and seconds after the break.
+// Guards against resolving only the first of several suspicions of one server. The server is probed
+// at most once per LivenessCheckDelay (0.5 s). When only the time of the last probe was cached, and
+// not its result, later requests took the server to be alive until its registration expired seconds
+// later. If the culprit was among them, the request resolved first seemed to have run alone.
 func TestOneSignOfAnEndCountsForAllThatRanThere(t *testing.T) {
 	servers, recorder := &gone{}, &settlements{settled: make(chan Suspicion, 10)}
 	set := backend.NewSet()
@@ -57,7 +51,7 @@
 		case suspicion := <-recorder.settled:
 			require.True(t, suspicion.Ended)
 		case <-time.After(4 * SettleTime):
-			t.Fatal("not settled in time")
+			t.Fatal("suspicion not resolved in time")
 		}
 	}
 	require.Equal(t, int64(1), servers.asked.Load())
--- a/internal/proxy/recorder.go
+++ b/internal/proxy/recorder.go
@@ -10,54 +10,54 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Choice is a placement: the chosen server with the terms of its cost, and the
-// cheapest other one, if there was any.
+// PlacementDecision records a placement: the chosen server and the terms of its cost, and
+// the same for the next cheapest server.
 type Choice struct {
 	Chosen routing.Candidate
 	Terms  []routing.Term
-	// Next names the other server; "" if there was none.
+	// Next is the name of the next cheapest server; "" if there was none.
 	Next      string
 	NextTerms []routing.Term
-	// Deferred says that the request will be late and lets others go first.
+	// Deferred is set if the request will be late and yields to others.
 	Deferred bool
-	// PassedOver is how many servers were passed over for the limits that they name.
+	// OverLimit is the number of servers that were skipped because of their request limits.
 	PassedOver int
-	// Looks is how often the servers were looked at: once, and again each time that other requests
-	// were placed in between where this one was to be.
+	// Rounds is the number of placement rounds: 1, plus 1 for each round whose choice was
+	// invalidated by concurrent placements.
 	Looks int
-	// LastResort says that all servers that are left have failed, so that this request probes one.
+	// LastResort is set if the circuit breakers of all remaining servers were open, so that this
+	// request probes one of them.
 	LastResort bool
 }
 
-// OverLimits is what decided that no server takes a request, by the limits that they name.
+// OverLimits records that no server accepts a request because of the servers' request limits.
 type OverLimits struct {
 	Service string
-	// Servers is how many they are, Shortest the time in which the first of them takes a request,
-	// and RetryAfter when the caller is told to come back.
+	// Servers is the number of servers at their limits, Shortest the time until the first of
+	// them accepts a request, and RetryAfter the retry delay given to the caller.
 	Servers    int
 	Shortest   time.Duration
 	RetryAfter time.Duration
 }
 
-// Recorder hears of every decision that touches a request. Its methods must not
-// block.
+// Recorder observes the decisions made about requests, for logs and metrics. Its methods
+// must not block.
 type Recorder interface {
-	// Placed hears of each placement with what decided it.
+	// Placed records a placement.
 	Placed(request *Request, choice Choice)
-	// Limited hears of a request that is refused since its tenant asks for more than its
-	// limit, and of what decided it.
+	// RateLimited records a request that was refused because of its tenant's rate limit.
 	Limited(request *Request, tenant string, limit quota.Limit, decision quota.Decision)
-	// OverLimits hears once of a request that no server takes for the limits that they name.
+	// OverLimits records, once per request, that all servers were at their request limits.
 	OverLimits(request *Request, over OverLimits)
-	// Attempt hears of each event of an attempt. The fingerprint is that of the request if
-	// the attempt broke, and else 0.
+	// Attempt records an event of an attempt. The fingerprint is that of the request if the
+	// attempt broke, and else 0.
 	Attempt(request *Request, server string, event exchange.Event, fingerprint quarantine.Fingerprint)
-	// HeldOff hears of a request that is refused for the servers that ended under it.
+	// RequestQuarantined records a request that was refused because servers crashed while running it.
 	HeldOff(request *Request, fingerprint quarantine.Fingerprint, verdict quarantine.Verdict)
-	// Settled hears whether a server ended under a request.
+	// SuspicionResolved records whether a server crashed while running a request.
 	Settled(suspicion Suspicion)
-	// Cleared hears of a request that was suspected and has had a whole answer.
+	// SuspicionCleared records that a suspected request got a complete response.
 	Cleared(request *Request, fingerprint quarantine.Fingerprint)
-	// Request hears of the end of a request. The route is nil if none was found.
+	// Request records the outcome of a request. The route is nil if none was found.
 	Request(request *Request, route *catalog.Route, version int64, outcome exchange.Outcome)
 }
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -8,29 +8,27 @@
 )
 
 const (
-	// ratioShare and extraShare are the parts of the fleet's bounds that nodes use;
-	// the rest covers nodes that join unseen.
+	// ratioShare and extraShare are the fractions of the fleet's bounds that nodes use;
+	// the rest is reserved for nodes that have joined but are not yet counted.
 	ratioShare = 0.8
 	extraShare = 0.7
-	// savedShare is the part of what a window's requests earn that a node may save up. In
-	// the window in which it is spent, as much as in any window is earned besides:
-	// ratioShare times 1 plus savedShare must stay below 1, with room for what was earned
-	// while there was more traffic.
+	// savedShare is the fraction of a window's earnings that a node may save. Savings are
+	// spent on top of the earnings of the current window, so ratioShare * (1 + savedShare)
+	// must stay below 1, with a margin for savings from a time of more traffic.
 	savedShare = 0.2
 )
 
-// RetryBounds bound the fleet's repetitions at one service: within any window,
-// Ratio of the first sends plus Extra.
+// RetryBounds bounds the fleet's retries to one service: in any window, at most Ratio
+// times the number of first attempts, plus Extra.
 type RetryBounds struct {
 	Ratio  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// Retries holds this node's part of the retry budget of each service. Nodes do
-// not ask each other: each earns by its own requests, and saves up at most its
-// part of what the fleet may send beyond the ratio, at least one, and some of what
-// it has earned of late.
+// Retries holds this node's share of the retry budget of each service. Nodes do not
+// coordinate: each earns retries from its own requests. It saves at most its share of
+// Extra, but at least one retry, plus savedShare of its recent earnings.
 type Retries struct {
 	bounds  RetryBounds
 	started time.Time
@@ -39,16 +37,16 @@
 	each    map[string]*retry.Budget
 }
 
-// unknownFleet is the size that a fleet is taken to have before it is known.
+// assumedFleetSize is the fleet size that is assumed before the actual size is known.
 const unknownFleet = 1000
 
-// NewRetries returns budgets for a fleet of unknown size. A node that has just
-// started does not know what the fleet has spent: it has nothing saved up.
+// NewRetries returns budgets for a fleet of unknown size. They start without savings,
+// since a node that has just started does not know what the fleet has already spent.
 func NewRetries(bounds RetryBounds, now time.Time) *Retries {
 	return &Retries{bounds: bounds, started: now, nodes: unknownFleet, each: map[string]*retry.Budget{}}
 }
 
-// Resize follows the number of nodes in the fleet.
+// Resize sets the number of nodes in the fleet.
 func (retries *Retries) Resize(nodes int) {
 	retries.mutex.Lock()
 	defer retries.mutex.Unlock()
@@ -61,13 +59,13 @@
 	}
 }
 
-// capacity is what one node may save up. Half of the extra is saved up, the
-// other half comes in over a window.
+// capacity returns how many retries one node may save. Half of Extra can be saved, and
+// the other half is earned over a window.
 func (retries *Retries) capacity() float64 {
 	return max(1, extraShare*retries.bounds.Extra/2/float64(retries.nodes))
 }
 
-// perSecond is what one node earns without any traffic.
+// perSecond returns how many retries one node earns per second without any traffic.
 func (retries *Retries) perSecond() float64 {
 	return extraShare * retries.bounds.Extra / 2 / float64(retries.nodes) / retries.bounds.Window.Seconds()
 }
@@ -91,12 +89,12 @@
 	return known
 }
 
-// Deposit notes a first send to a service.
+// Deposit records a first attempt at a service, which earns part of a retry.
 func (retries *Retries) Deposit(service string, now time.Time) {
 	retries.budget(service).Deposit(now)
 }
 
-// Of returns the budget of a service.
+// ForService returns the retry budget of a service.
 func (retries *Retries) Of(service string) *retry.Budget {
 	return retries.budget(service)
 }
--- a/internal/proxy/serverlimit.go
+++ b/internal/proxy/serverlimit.go
@@ -8,8 +8,8 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// limit marks the candidates that take no request of this node now, by the limits that they name
-// for all nodes together. While no server names one, it costs nothing.
+// markLimited marks the candidates that accept no request of this node now because of the
+// fleet-wide request limits that they advertise. It does nothing while no server advertises one.
 func (placer *placer) limit(candidates []routing.Candidate, now time.Time) {
 	limits := placer.proxy.limits
 	if !limits.Active() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// passedOver counts the candidates that are passed over for their limits.
+// countLimited returns the number of candidates that are at their request limits.
 func passedOver(candidates []routing.Candidate) int {
 	count := 0
 	for i := range candidates {
@@ -32,13 +32,13 @@
 	return count
 }
 
-// drawnWait marks a candidate whose limit has room for a part of a request only, and for which a
-// request drew in vain. It is looked at again with the next request.
+// partialLimitRetryDelay is the LimitWait of a candidate whose limit has room for less than one
+// request and whose random draw failed. The next request draws again.
 const drawnWait = time.Millisecond
 
-// mayTake takes a request to the candidate out of its limit, if there is room. It goes with the
-// placement and not with the request, since each attempt reaches a server anew, also one that
-// repeats or resumes.
+// takeFromLimit charges a request to the candidate's limit and reports whether there was room.
+// Every placement is charged, since each attempt reaches the server as a new request, including
+// retries and resumed streams.
 func (placer *placer) mayTake(c *routing.Candidate, now time.Time) bool {
 	limits := placer.proxy.limits
 	if !limits.Active() || limits.Take(backend.ServerKey(c.Endpoint), placer.admitted.service.Name, now) {
@@ -48,9 +48,9 @@
 	return false
 }
 
-// overLimits says that all servers that are left take no more requests of this node now, the
-// first of them again after the shortest wait. To wait helps only if that is soon. The caller is
-// told once when to come back, however often it looks meanwhile.
+// allOverLimit fills in unplaced for the case that all remaining servers are at their limits and
+// the first of them accepts a request after the shortest wait. Waiting helps only if that is
+// short. The retry time of the caller is set once per request, however many placements follow.
 func (placer *placer) overLimits(unplaced *exchange.Unplaced, limited []uint64, shortest time.Duration, now time.Time) *exchange.Unplaced {
 	if placer.comeBack.IsZero() {
 		service := placer.admitted.service.Name
@@ -58,7 +58,7 @@
 		placer.comeBack = now.Add(retryAfter)
 		placer.proxy.recorder.OverLimits(placer.admitted.request, OverLimits{Service: service, Servers: len(limited), Shortest: shortest, RetryAfter: retryAfter})
 	}
-	unplaced.Reason = "every server has as many requests as it takes"
+	unplaced.Reason = "all servers are at their request limits"
 	unplaced.RetryAfter = max(0, placer.comeBack.Sub(now))
 	unplaced.Lasting = shortest > placer.admitted.route.TargetLatency/placementPart
 	return unplaced
--- a/internal/proxy/slottime.go
+++ b/internal/proxy/slottime.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// assumedSlotTime is how long a run is taken to last before one was seen.
+	// defaultSlotTime is the slot time that is assumed before the first measurement.
 	assumedSlotTime = 500 * time.Millisecond
-	// slotTimeGain is the weight of a new measurement: some forty runs are remembered.
+	// slotTimeGain is the weight of a new measurement: the average covers about 40 runs.
 	slotTimeGain = 0.025
 )
 
-// slotTime learns how long a run takes a slot of its engine: from the reading of its
-// prompt to the end of its answer.
+// slotTime estimates how long a request occupies a slot of its engine: from the start
+// of its prefill to the end of its response.
 type slotTime struct {
 	mutex sync.Mutex
 	mean  float64
@@ -21,14 +21,14 @@
 
 func newSlotTime() *slotTime { return &slotTime{mean: assumedSlotTime.Seconds()} }
 
-// measure takes the time of one run.
+// observe records the slot time of one request.
 func (s *slotTime) measure(took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.mean += slotTimeGain * (took.Seconds() - s.mean)
 }
 
-// seconds returns the learned time.
+// seconds returns the estimated slot time.
 func (s *slotTime) seconds() float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/proxy/sources.go
+++ b/internal/proxy/sources.go
@@ -8,10 +8,11 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// pair is the two best candidates of one version of the weights by some measure.
+// topTwo holds the two candidates with the highest scores among those with the same version of
+// the weights.
 type pair struct{ first, second *routing.Candidate }
 
-// besides returns the better one that is not the candidate itself, or nil.
+// excluding returns the best candidate other than c, or nil.
 func (p pair) besides(c *routing.Candidate) *routing.Candidate {
 	if p.first == c {
 		return p.second
@@ -19,7 +20,7 @@
 	return p.first
 }
 
-// pairsOf returns the two usable candidates of each version with the highest measure.
+// topTwoByVersion returns the two usable candidates with the highest scores for each version.
 func pairsOf(candidates []routing.Candidate, usable func(c *routing.Candidate) bool, measure func(c *routing.Candidate) uint64) map[int64]pair {
 	pairs := map[int64]pair{}
 	for i := range candidates {
@@ -39,9 +40,9 @@
 	return pairs
 }
 
-// homesOf returns the first two usable servers of each version in rendezvous order:
-// requests go there first, so that they may hold the shared parts even if nothing is
-// known of it.
+// preferredByVersion returns the first two usable servers in rendezvous order for each
+// version. Requests prefer these servers, so they may hold the shared parts even if that
+// has not been observed.
 func homesOf(candidates []routing.Candidate) map[int64]pair {
 	usable := func(c *routing.Candidate) bool {
 		return c.Ready && !c.Leaving && !c.Down && !c.Resting && !c.Excluded && c.RestLeft == 0 && c.LimitWait == 0
@@ -49,9 +50,9 @@
 	return pairsOf(candidates, usable, func(c *routing.Candidate) uint64 { return c.Affinity })
 }
 
-// holdersOf returns the two servers of each version that hold most of the shared
-// parts. One may give them away that takes no requests, but not one that is down, that
-// loads other weights, or that has asked for rest.
+// holdersByVersion returns the two servers that hold most of the shared parts for each
+// version. A server that accepts no requests may still serve imports, unless it is down,
+// its circuit breaker is open, it loads other weights, or it has requested a backoff.
 func holdersOf(candidates []routing.Candidate) map[int64]pair {
 	usable := func(c *routing.Candidate) bool {
 		return c.HitBlocks > 0 && !c.Down && !c.Resting && !c.Loading && c.RestLeft == 0
@@ -59,12 +60,12 @@
 	return pairsOf(candidates, usable, func(c *routing.Candidate) uint64 { return uint64(c.HitBlocks) })
 }
 
-// annotateSources says of each candidate from where it can take shared parts that
-// it lacks, and how many of them: from the server that holds most of them, whose
-// link is fast, or from the store of kept KV cache if that has more. If neither is
-// known to have all, it may ask the first server in rendezvous order, where they are
-// read if anywhere, but nothing is counted on; the first itself asks the second, which
-// stood in for it if it was away.
+// annotateSources sets where each candidate can import missing shared parts from, and how
+// many blocks. The source is the server that holds most of them, or the KV cache store if
+// that has more; on a tie it is the server, since all engines share the store's link. If
+// neither is known to hold all shared parts, the source is the first server in rendezvous
+// order, without any expected blocks. The first server itself uses the second, which
+// replaces it while it is away.
 func (p *placer) annotateSources(candidates []routing.Candidate, now time.Time) {
 	homes, holders := homesOf(candidates), holdersOf(candidates)
 	shared, store := p.sharedTokens(), p.store()
@@ -84,11 +85,11 @@
 	}
 }
 
-// farShare is the share of an engine's speed at which it takes parts from a server
-// in another zone.
+// crossZoneShare is the fraction of an engine's link rate that imports from a server in
+// another zone achieve.
 const farShare = 0.5
 
-// peerSpeed is how many tokens an engine takes from another one in a second.
+// peerImportRate returns how many tokens per second an engine can import from another.
 func peerSpeed(engine *catalog.Engine, near bool) float64 {
 	if engine == nil || engine.TokenBytes <= 0 {
 		return 0
@@ -100,9 +101,9 @@
 	return speed
 }
 
-// store returns the store of kept KV cache that is to hold the prompt's shared
-// parts: the first in rendezvous order, so that each part lies in one store. It is
-// nil if there is none that answers: asking a dead one costs the server time.
+// store returns the KV cache store for the prompt's shared parts: the first in rendezvous
+// order, so that each part is kept in one store. It returns nil if no store is up, since a
+// fetch from a store that is down costs the server time.
 func (p *placer) store() *catalog.PrefixStore {
 	var first *catalog.PrefixStore
 	var highest uint64
@@ -118,8 +119,8 @@
 	return first
 }
 
-// inStore returns how many leading tokens of the shared parts the store of kept
-// KV cache has at a version.
+// tokensInStore returns how many leading tokens of the shared parts the KV cache store
+// holds for a version.
 func (p *placer) inStore(version int64, now time.Time) int {
 	if tokens, looked := p.stored[version]; looked {
 		return tokens
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -17,7 +17,7 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// unheeded is a recorder that keeps nothing.
+// nopRecorder is a Recorder that records nothing.
 type unheeded struct{}
 
 func (unheeded) Placed(*Request, Choice)                                          {}
@@ -29,8 +29,8 @@
 func (unheeded) Cleared(*Request, quarantine.Fingerprint)                         {}
 func (unheeded) Request(*Request, *catalog.Route, int64, exchange.Outcome)        {}
 
-// placing returns a placer of a prompt with 1,000 shared tokens and some of its
-// own, before servers and stores of the given numbers.
+// newTestPlacer returns a placer for a prompt with 1,000 shared tokens and the given
+// number of its own, and for the given numbers of servers and stores.
 func placing(own, servers, stores int) *placer {
 	declaration := catalog.Declaration{Version: 1, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{TokenBytes: 1000, LinkBitsPerSecond: 1e12}}}}
 	for i := range stores {
@@ -61,7 +61,7 @@
 	return all
 }
 
-// beginAt begins an attempt at a candidate.
+// beginAt begins an attempt on the given candidate.
 func (p *placer) beginAt(c routing.Candidate) *placement {
 	now := time.Now()
 	choice := &choice{scheduler: routing.NewScheduler(p.scorers()...), request: p.routingRequest(), candidates: []routing.Candidate{c}}
@@ -76,12 +76,12 @@
 	for i := range all {
 		c := &all[i]
 		if c == h.first {
-			require.Equal(t, h.second.Address, c.ImportFrom, "the second may have stood in for it")
+			require.Equal(t, h.second.Address, c.ImportFrom, "the second may have replaced it")
 			require.Zero(t, c.ImportBlocks)
 			continue
 		}
 		require.Equal(t, h.first.Address, c.ImportFrom)
-		require.Zero(t, c.ImportBlocks, "it may be asked, but nothing is known")
+		require.Zero(t, c.ImportBlocks, "no blocks are known to be there")
 	}
 	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
 	for _, c := range p.candidates() {
@@ -116,7 +116,7 @@
 		p.admitted.request.Prompt.Parts[0].ID = fmt.Sprint("part-", i)
 		seen[p.store().Address] = true
 	}
-	require.Len(t, seen, 2, "they share the work")
+	require.Len(t, seen, 2, "prompts are spread over the remaining stores")
 }
 
 func TestOnlyWhatIsMostlySharedIsSaved(t *testing.T) {
@@ -131,7 +131,7 @@
 	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
 	dispatch := Dispatch{}
 	p.beginAt(p.candidates()[0]).addSources(&dispatch)
-	require.Empty(t, dispatch.SaveTo, "the store has it")
+	require.Empty(t, dispatch.SaveTo, "the store already has the shared part")
 	require.Equal(t, "store-0", dispatch.FetchFrom)
 }
 
@@ -155,21 +155,22 @@
 			require.InDelta(t, 1e12/8/1000, c.ImportTokensPerSecond, 1)
 		}
 	}
-	// A store that has as much is not asked: its link is shared by all.
+	// A store that has as much is not used, since all engines share its link.
 	p.proxy.ledger.Replace("store-0", []residency.Key{p.named(1)[0].Key})
 	for _, c := range p.candidates() {
 		if c.Endpoint == other.Endpoint {
 			require.Equal(t, holder.Address, c.ImportFrom)
 		}
 	}
-	// What a server that loads other weights had is gone.
+	// A server that loads other weights loses its cached blocks.
 	p.proxy.set.Load(backend.Loads{Loading: []backend.Load{{Instance: holder.Endpoint, Model: "m", Version: 2}}}, time.Now())
 	for _, c := range p.candidates() {
 		require.Equal(t, "store-0", c.ImportFrom)
 	}
 }
 
-// A request that will be late where it waits least lets all go first that may be in time.
+// Guards against a request that will miss its target on every server delaying requests that can
+// still meet theirs.
 func TestARequestThatWillBeLateLetsOthersGoFirst(t *testing.T) {
 	p := placing(100, 2, 0)
 	p.admitted.route = &catalog.Route{TargetLatency: 500 * time.Millisecond, Priority: 1}
@@ -194,9 +195,9 @@
 	require.Equal(t, leastUrgent, late.urgency())
 	require.False(t, late.Doubtful(30*time.Millisecond))
 	for _, work := range p.proxy.set.Work(time.Now()) {
-		require.Equal(t, queued, work.QueuedTokens, "its tokens are nobody's to wait for")
+		require.Equal(t, queued, work.QueuedTokens, "deferred tokens do not count as queued")
 	}
 	p.admitted.request.Arrived = time.Now().Add(-time.Second)
 	late.End(exchange.ResultServed)
-	require.True(t, place().deferred, "it is late already")
+	require.True(t, place().deferred, "the target latency has already passed")
 }
--- a/internal/proxy/split.go
+++ b/internal/proxy/split.go
@@ -6,14 +6,14 @@
 	"github.com/cloverrail/cloverrail/internal/catalog"
 )
 
-// splits divides routes' requests among services in proportion to their
-// weights, evenly also over short spans (smooth weighted round robin).
+// splitter distributes the requests of each route over its services by smooth weighted
+// round robin, which follows the weights even over few requests.
 type splits struct {
 	mutex  sync.Mutex
 	routes map[string]map[string]int
 }
 
-// choose returns the service of the route's next request.
+// next returns the service for the route's next request.
 func (splits *splits) choose(route *catalog.Route) string {
 	if len(route.Split) == 1 {
 		return route.Split[0].Service
--- a/internal/proxy/neighbourhood_test.go
+++ b/internal/proxy/subset_test.go
@@ -11,10 +11,10 @@
 	"github.com/cloverrail/cloverrail/internal/exchange"
 )
 
-// manySlots is how many requests each server of a large service runs at once.
+// slotsPerServer is the number of slots of each server of a large service.
 const manySlots = 16
 
-// placingAmong returns a placer before so many servers with slots.
+// newPlacerWithServers returns a placer for a service with the given number of servers.
 func placingAmong(servers int) *placer {
 	p := placing(500, 1, 0)
 	var list []backend.Server
@@ -25,7 +25,7 @@
 	return p
 }
 
-// place places a request with two shared parts, and ends it.
+// place places a request with two shared parts, ends it, and returns its server.
 func (p *placer) place(t *testing.T, first, second string) string {
 	p.admitted.request = &Request{ID: first + second, Prompt: &Prompt{Model: "m", Tokens: 6800, Parts: []Part{{ID: first, Tokens: 2500}, {ID: second, Tokens: 3800}, {ID: "own", Tokens: 500}}}}
 	clear(p.pieces)
@@ -36,10 +36,11 @@
 	return placed.Server()
 }
 
-// Pattern: thousands of servers, of which the load needs a few hundred; a few rule sheets that
-// all prompts begin with, each followed by one of hundreds of histories. The rule sheet must be
-// read at few servers, and each history at one. A sheet of 2,500 tokens takes an engine 65 ms
-// and costs users a third of an answer where it is read anew.
+// Guards against the same prefix being computed on many servers of a large service, of which the
+// load needs only a few hundred. All prompts begin with one of a few system prompts (sheets),
+// followed by one of hundreds of histories. Each system prompt must stay within one subset, and each
+// history on one server. The prefill of a system prompt of 2,500 tokens takes an engine 65 ms, and
+// each repetition costs users about a third of an answer.
 func TestPromptsThatBeginAlikeMeetAtFewServers(t *testing.T) {
 	p := placingAmong(3000)
 	homes := map[string]string{}
@@ -51,7 +52,7 @@
 			used[homes[first+second]] = true
 		}
 		require.LessOrEqual(t, len(used), neighbourhood)
-		require.Greater(t, len(used), neighbourhood/2, "it is spread over them")
+		require.Greater(t, len(used), neighbourhood/2, "requests use most of the subset")
 		for history := range 300 {
 			first, second := fmt.Sprint("sheet-", sheet), fmt.Sprint("history-", sheet, "-", history)
 			require.Equal(t, homes[first+second], p.place(t, first, second))
@@ -59,7 +60,7 @@
 	}
 }
 
-// work says that so much is under way at each of some servers, of which nodes let some rest.
+// setRemoteWork reports the given load and number of suspecting nodes for each of the servers.
 func (p *placer) work(servers []string, running, suspects int) {
 	var work []backend.Work
 	for _, server := range servers {
@@ -68,7 +69,7 @@
 	p.proxy.set.TakeWork(work, time.Now())
 }
 
-// around returns the neighbourhood of a first part.
+// subsetOf returns the servers of the subset for a first part.
 func (p *placer) around(t *testing.T, first string) []string {
 	p.place(t, first, "any")
 	var names []string
@@ -81,9 +82,9 @@
 	return names
 }
 
-// Pattern: one first part draws all requests, as one system prompt for all does, until its
-// servers have no slots to spare; or all of its servers go dark at once, as a rack does. The
-// requests go further at once, and come back when that is over.
+// Guards against requests waiting for a subset that is full, because all requests share one system
+// prompt, or unreachable, because all its servers failed at once. Requests must use other servers
+// immediately and return once the subset has recovered.
 func TestANeighbourhoodThatIsHotOrDarkWidensAndNarrowsAgain(t *testing.T) {
 	p := placingAmong(3000)
 	near := p.around(t, "system prompt")
@@ -100,17 +101,18 @@
 	}
 	require.False(t, other())
 	p.work(near, manySlots+8, 0)
-	require.True(t, other(), "all slots are taken there")
+	require.True(t, other(), "all slots of the subset are taken")
 	p.work(near, 2, 0)
-	require.False(t, other(), "there is room again")
+	require.False(t, other(), "the subset has free slots again")
 	p.work(near, 0, 2)
-	require.True(t, other(), "nobody there answers")
+	require.True(t, other(), "all servers of the subset are suspected")
 	p.work(nil, 0, 0)
 	require.False(t, other())
 }
 
-// Pattern: a plain service of hundreds of servers, a tenth of which are dark. Requests spread
-// over all of them, in a time that does not depend on how many there are.
+// Guards against plain requests staying within one subset of a large service. Each chooses from a
+// subset of its own, so that the time of a placement does not depend on the number of servers, but
+// together they must use all servers, also while a tenth of these are unreachable.
 func TestPlainRequestsSpreadOverAllServers(t *testing.T) {
 	p := placingAmong(300)
 	p.admitted.service.Engine = nil
--- a/internal/proxy/urgency.go
+++ b/internal/proxy/urgency.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// leastUrgent is the last rank that servers know; 0 is the first.
+	// lowestUrgency is the least urgent rank that servers support; 0 is the most urgent.
 	leastUrgent = 9
-	// deferredUrgency is the rank of the most urgent requests among those that let all
-	// others go first. The ranks below it are those of routes and tenants.
+	// deferredUrgency is the most urgent rank of deferred requests. Ranks below it are for
+	// the priorities of routes and tenants.
 	deferredUrgency = 8
 )
 
-// deferred reports whether the request is late, or will be at the chosen server, which is
-// the best. It then lets those go first that can still be answered in time: otherwise all
-// would be late once servers have more to do than they can.
+// deferred reports whether the request already exceeds its target latency or will on the
+// chosen server, which is the cheapest. Deferred requests yield to those that can still meet
+// the target; otherwise all requests would be late as soon as the servers are overloaded.
 func (placer *placer) deferred(request *routing.Request, chosen *routing.Candidate, now time.Time) bool {
 	if placer.prompt() == nil {
 		return false
@@ -26,7 +26,7 @@
 	return expected > placer.admitted.route.TargetLatency
 }
 
-// urgency is the rank of the attempt at its server.
+// urgency returns the urgency of the attempt at its server.
 func (placement *placement) urgency() int {
 	rank := urgency(placement.placer.admitted)
 	if placement.deferred {
@@ -35,7 +35,8 @@
 	return min(rank, deferredUrgency-1)
 }
 
-// urgency is the rank of a request at servers; a tenant's goes before its route's.
+// urgency returns the priority of a request as an urgency; a tenant's priority overrides its
+// route's.
 func urgency(admitted *admitted) int {
 	priority := admitted.route.Priority
 	if admitted.tenant != nil && admitted.tenant.HasPriority {
