--- a/internal/routing/annotate.go
+++ b/internal/routing/annotate.go
@@ -5,10 +5,10 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// AffinityKey is the rendezvous key of a prompt: its first block that no engine
-// holds, or its last one. Prompts that differ only further down share the key,
-// so all nodes send a new prefix to the same engine; and prompts that share a
-// known beginning, such as one tenant's rules, are spread by what is new.
+// AffinityKey returns the rendezvous key of a prompt: its first block that no engine
+// holds, or its last block. Prompts that differ only in later blocks share the key, so
+// all nodes send a new prefix to the same engine. Prompts that share a cached prefix,
+// such as a tenant's system prompt, are spread by their first new block.
 func AffinityKey(chain []prefix.Hash, depths []prefixindex.Depth, store string) prefix.Hash {
 	known := 0
 	for _, depth := range depths {
@@ -19,10 +19,9 @@
 	return chain[min(known, len(chain)-1)]
 }
 
-// Annotate fills in what the index knows of the candidates and their rendezvous
-// weights for the key. Entries of another incarnation are of no use, whatever
-// they say. Store names the kept-KV store, whose blocks every candidate can
-// import; "" means none.
+// Annotate fills in the candidates' cache hits from the index and their rendezvous
+// weights for the key. Index entries of other incarnations are ignored. Store is the
+// endpoint of the KV cache store, whose blocks every candidate can import; "" means none.
 func (scheduler *Scheduler) Annotate(candidates []Candidate, key prefix.Hash, depths []prefixindex.Depth, store string) {
 	clear(scheduler.held)
 	for _, depth := range depths {
@@ -45,7 +44,7 @@
 	}
 }
 
-// Exclude marks the candidates of the given names.
+// Exclude marks the candidates with the given names as excluded.
 func Exclude(candidates []Candidate, names []string) {
 	for index := range candidates {
 		for _, name := range names {
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -1,97 +1,98 @@
-// Package routing chooses the endpoint of one request: filter, score, pick. It
-// is pure: everything it needs to know is in its arguments.
+// Package routing chooses the endpoint of a request by filtering and scoring the
+// candidates and picking the cheapest. Its decisions depend only on their arguments.
 package routing
 
 import "time"
 
-// Candidate is an endpoint as a decision sees it.
+// Candidate is the state of an endpoint at the time of a decision.
 type Candidate struct {
 	Endpoint string
 	Address  string
 	Zone     string
 	Pool     string
 	Epoch    string
-	// Version is the loaded version of the model, where versions are numbers.
+	// Version is the loaded version of the model, if versions are numeric.
 	Version int64
-	// Ready says that the model is loaded at the version in force.
+	// Ready is set if the model is loaded at a version that may serve.
 	Ready bool
-	// Loading says that it is busy loading weights.
+	// Loading is set while the endpoint loads weights.
 	Loading bool
 	Leaving bool
 	Down    bool
-	// Resting says that it is passed over since attempts on it have failed, and Probing that an
-	// attempt is under way that shows whether it still fails.
+	// BreakerOpen is set if the circuit breaker rejects requests after failed attempts, and
+	// Probing while a probe is in flight.
 	Resting  bool
 	Probing  bool
 	Excluded bool
-	// RestLeft is for how long the endpoint wants no requests of this node, by its own word.
+	// BackoffLeft is the remaining time for which the endpoint has asked this node to send
+	// no requests.
 	RestLeft time.Duration
-	// LimitWait is the time in which this node may send the endpoint a request, by the limit that
-	// it names for all nodes together.
+	// LimitWait is the time until this node may send the endpoint a request under the
+	// fleet-wide request limit that the endpoint advertises.
 	LimitWait time.Duration
-	// Busy says that it has just refused a request for want of room.
+	// Busy is set if the endpoint has recently refused a request for lack of capacity.
 	Busy bool
-	// Distance is how far the endpoint is: 0 the same zone, 1 the same region,
-	// 2 another region.
+	// Distance is 0 for an endpoint in the same zone, 1 in the same region, and 2 in
+	// another region.
 	Distance int
-	// ReplacedLoss is the share of an answer's worth, from 0 to 1, that is lost if the
-	// endpoint makes it, since its weights have been replaced.
+	// ReplacedLoss is the share of an answer's value, from 0 to 1, that is lost on this
+	// endpoint because newer weights have been released.
 	ReplacedLoss float64
-	// FailureShare is the estimated share of attempts that fail on it or that it refuses.
+	// FailureRate is the estimated share of attempts that fail or that the endpoint refuses.
 	FailureShare float64
-	// Apart is from 0 to 1, for a request under which servers have ended: how far the endpoint is
-	// from the one where it is to run, in an order of its own. 0 for all other requests.
+	// IsolationDistance is, for a request suspected of crashing servers, how far the endpoint is
+	// from the first one in the request's own ranking, from 0 to 1. It is 0 for all other requests.
 	Apart float64
 	// InFlight counts this node's attempts on the endpoint.
 	InFlight int
-	// Running counts the sequences that the endpoint is known to work on.
+	// Running counts the sequences known to run on the endpoint.
 	Running int
-	// Slots is how many sequences it works on at once; 0 says that it is not known.
+	// Slots is the number of sequences that the endpoint runs concurrently; 0 if unknown.
 	Slots int
-	// QueuedTokens are the prompt tokens known to wait for computation.
+	// QueuedTokens counts the prompt tokens known to wait for prefill.
 	QueuedTokens int
-	// HitBlocks is how many leading blocks of the prompt the endpoint holds.
+	// HitBlocks is the number of leading blocks of the prompt that the endpoint holds.
 	HitBlocks int
-	// ImportBlocks is how many leading blocks it can probably take from elsewhere,
-	// and ImportFrom the address to take them from, or "".
+	// ImportBlocks is the number of leading blocks that the endpoint can probably import,
+	// and ImportFrom the address to import them from, or "".
 	ImportBlocks int
 	ImportFrom   string
-	// ImportTokensPerSecond is the speed of taking them; 0 means the request's.
+	// ImportTokensPerSecond is the import rate; 0 means that of the Request.
 	ImportTokensPerSecond float64
-	// Affinity is the endpoint's rendezvous weight for the prompt's first block.
+	// Affinity is the endpoint's rendezvous weight for the prompt's affinity key.
 	Affinity uint64
-	// AffinityRank is the endpoint's place by Affinity among those that passed
-	// the filters, 0 being the first. The scheduler fills it in.
+	// AffinityRank is the endpoint's rank by Affinity among the accepted candidates,
+	// starting at 0. The scheduler fills it in.
 	AffinityRank int
 }
 
-// Request is what a decision needs to know of the request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	PromptTokens int
 	BlockTokens  int
 	// Blocks is the number of whole blocks of the prompt.
 	Blocks int
-	// PrefillTokensPerSecond is the pool's declared speed.
+	// PrefillTokensPerSecond is the prefill rate of the engines.
 	PrefillTokensPerSecond float64
-	// ImportTokensPerSecond is the speed of taking blocks from the kept-KV store; 0
-	// means that there is none.
+	// ImportTokensPerSecond is the import rate from the KV cache store; 0 means that there
+	// is none.
 	ImportTokensPerSecond float64
 	// ConcurrentPerEngine bounds InFlight; 0 means no bound.
 	ConcurrentPerEngine int
 	WaitWeight          float64
 	WorkWeight          float64
-	// Draw is a random number of this request: it chooses among few endpoints that are
-	// drawn by it. 0 means that it chooses among all.
+	// SampleSeed selects the random sample of endpoints that this request chooses from
+	// while slots are scarce. 0 means that it always chooses from all endpoints.
 	Draw uint64
-	// SlotSeconds is how long a sequence usually takes a slot of an endpoint.
+	// SlotSeconds is the average time for which a sequence occupies a slot.
 	SlotSeconds float64
-	// TurnSeconds is what one more running request costs the next, at servers
-	// without prompts.
+	// ConcurrencyCost is the delay in seconds that each running request adds to the next
+	// one, on servers of plain services.
 	TurnSeconds float64
-	// Bytes is the size of the request, for what it costs to carry it far.
+	// Bytes is the size of the request, which determines its transfer cost.
 	Bytes int
-	// FailureCost is what a failed attempt costs, in seconds.
+	// FailureCost is the cost of a failed attempt, in seconds.
 	FailureCost float64
-	// AnswerWorth is what a whole answer in time is worth, in seconds of engine time.
+	// AnswerValue is the value of a complete, timely answer, in seconds of engine time.
 	AnswerWorth float64
 }
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -1,9 +1,9 @@
 package routing
 
-// Reason names why an endpoint may not be used.
+// Reason is why an endpoint is rejected.
 type Reason string
 
-// The reasons, in the order in which they are checked.
+// The rejection reasons.
 const (
 	Accepted       Reason = ""
 	ReasonExcluded Reason = "excluded"
@@ -17,8 +17,8 @@
 	ReasonBusy     Reason = "busy"
 )
 
-// Filter says whether the request may go to the candidate. Reasons that will
-// not pass by waiting come first, so that the reason shown is the strongest.
+// Filter returns why the candidate is rejected, or Accepted. Reasons that do not pass
+// by waiting are checked first, so that the strongest reason is reported.
 func Filter(request *Request, candidate *Candidate) Reason {
 	switch {
 	case candidate.Excluded:
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -1,8 +1,7 @@
 package routing
 
-// Pick returns the index of the cheapest candidate; equal costs go to the
-// higher rendezvous weight, so that all nodes choose alike. It returns -1 when
-// none was accepted.
+// Pick returns the index of the cheapest accepted candidate, or -1 if there is none.
+// Ties are broken by the higher rendezvous weight, so that all nodes choose alike.
 func Pick(candidates []Candidate, accepted []int, costs []float64) int {
 	best := -1
 	lowest := 0.0
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -3,20 +3,20 @@
 import "slices"
 
 const (
-	// drawn is how many candidates of each kind of weights are drawn for a request, beside
-	// those that may hold its prefix: two are enough to spread the load.
+	// sampledPerGroup is the number of candidates sampled at random from those with the
+	// newest weights, and from all others. Two are enough to spread the load.
 	drawn = 2
-	// firsts is how many of the first ones by affinity stay candidates.
+	// affinityKept is the number of candidates kept by affinity rank.
 	firsts = 2
-	// kept is how many of those that hold most of the prefix stay candidates.
+	// hitsKept is the number of candidates kept because they hold most of the prefix.
 	kept = 2
 )
 
-// sample leaves of the accepted candidates those that a request may choose from: the
-// first ones by affinity, those that hold most of its prefix, and a few that are drawn
-// for it alone, of the newest weights and of all others. Nodes know late of each other's
-// choices: if all chose the best of all, each would send what comes in that time to the
-// same endpoint, whose queue then passes all others.
+// sampleCandidates reduces the accepted candidates to those that a request may choose
+// from: the first ones by affinity, those that hold most of its prefix, and a random
+// sample of those with the newest weights and of all others. Nodes learn of each other's
+// choices with a delay. If they all picked the best of all candidates, they would all send
+// the requests of that time to the same endpoint, whose queue would outgrow all others.
 func sample(draw uint64, candidates []Candidate, accepted []int) []int {
 	newest := int64(0)
 	for _, index := range accepted {
@@ -50,7 +50,7 @@
 	return sampled
 }
 
-// best keeps the indexes with the highest measures.
+// topK keeps the indexes with the highest scores, up to limit.
 type best struct {
 	most    int
 	measure func(index int) uint64
@@ -77,7 +77,7 @@
 	}
 }
 
-// mix spreads the bits of a number (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -36,7 +36,7 @@
 			most = max(most, candidates[index].HitBlocks)
 			newest = max(newest, candidates[index].Version)
 			if candidates[index].AffinityRank < firsts {
-				require.Contains(t, sampled, index, "the first by affinity stay")
+				require.Contains(t, sampled, index, "the first by affinity are kept")
 			}
 		}
 		sampledMost, sampledNewest := 0, int64(0)
@@ -44,8 +44,8 @@
 			sampledMost = max(sampledMost, candidates[index].HitBlocks)
 			sampledNewest = max(sampledNewest, candidates[index].Version)
 		}
-		require.Equal(t, most, sampledMost, "whoever holds most stays")
-		require.Equal(t, newest, sampledNewest, "the newest weights stay")
+		require.Equal(t, most, sampledMost, "the largest hit is kept")
+		require.Equal(t, newest, sampledNewest, "the newest version is kept")
 	})
 }
 
@@ -57,9 +57,9 @@
 	return all
 }
 
-// Nodes that know each other's choices only a while later do not all choose the same
-// endpoint. Each of 90 endpoints ends 4 requests a round, and 300 requests come that
-// choose by what was true three rounds before.
+// Guards against nodes that learn of each other's choices with a delay all choosing the
+// same endpoint. Each of 90 endpoints completes 4 requests per round, and 300 requests
+// arrive that choose by the load of three rounds ago.
 func TestChoicesByOldKnowledgeDoNotCrowd(t *testing.T) {
 	longest := func(draw func(random *rand.Rand) uint64) int {
 		random := rand.New(rand.NewPCG(1, 2))
@@ -87,6 +87,6 @@
 	}
 	all := longest(func(*rand.Rand) uint64 { return 0 })
 	few := longest(func(random *rand.Rand) uint64 { return random.Uint64() | 1 })
-	t.Logf("longest queue: %d if all are compared, %d if few are", all, few)
+	t.Logf("longest queue: %d without sampling, %d with sampling", all, few)
 	require.Less(t, 3*few, 2*all)
 }
--- a/internal/routing/scheduler.go
+++ b/internal/routing/scheduler.go
@@ -6,16 +6,16 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// Scorer puts a price on serving the request at the candidate, in seconds of
-// engine time.
+// Scorer computes one term of the cost of serving a request on a candidate, in seconds
+// of engine time.
 type Scorer interface {
-	// Name tells the price apart from those of other scorers.
+	// Name returns the name of the term.
 	Name() string
 	Score(request *Request, candidate *Candidate) float64
 }
 
-// Scheduler filters, scores and picks. It keeps scratch memory between
-// decisions and is not safe for concurrent use.
+// Scheduler filters and scores candidates and picks the cheapest. It reuses buffers
+// between decisions and is not safe for concurrent use.
 type Scheduler struct {
 	scorers  []Scorer
 	accepted []int
@@ -23,7 +23,8 @@
 	held     map[prefixindex.Holder]int
 }
 
-// NewScheduler returns a scheduler with the given scorers, or with all of them.
+// NewScheduler returns a scheduler with the given scorers. Without any, it uses the
+// work, wait and affinity scorers.
 func NewScheduler(scorers ...Scorer) *Scheduler {
 	if len(scorers) == 0 {
 		scorers = []Scorer{WorkScorer{}, WaitScorer{}, AffinityScorer{}}
@@ -33,15 +34,16 @@
 
 // Decision is the outcome of one placement.
 type Decision struct {
-	// Index of the chosen candidate, or -1; Next, that of the cheapest other one.
+	// Index is the index of the chosen candidate, and Next that of the next cheapest; -1
+	// if there is none.
 	Index int
 	Next  int
-	// Refused is why the last refused candidate was refused, for the message
-	// when none was accepted. Full wins over the others: it passes by waiting.
+	// LastRejection is the reason of the last rejected candidate, for the message when
+	// none was accepted. ReasonFull overrides the others, since it passes by waiting.
 	Refused Reason
 }
 
-// Schedule chooses among the candidates. It fills in their affinity ranks.
+// Schedule chooses one of the candidates. It fills in their affinity ranks.
 func (scheduler *Scheduler) Schedule(request *Request, candidates []Candidate) Decision {
 	decision := Decision{Index: -1, Next: -1}
 	scheduler.accepted = scheduler.accepted[:0]
@@ -66,7 +68,7 @@
 	return decision
 }
 
-// next returns the cheapest of the accepted candidates besides the chosen one.
+// runnerUp returns the cheapest accepted candidate other than the chosen one, or -1.
 func (scheduler *Scheduler) next(candidates []Candidate, chosen int) int {
 	place := slices.Index(scheduler.accepted, chosen)
 	if place < 0 {
@@ -77,8 +79,8 @@
 	return Pick(candidates, scheduler.accepted[:last], scheduler.costs[:last])
 }
 
-// Cost is what it costs to serve the request at a candidate whose affinity rank is filled in, in
-// seconds of engine time.
+// Cost returns the cost of serving the request on a candidate, in seconds of engine time. The
+// candidate's affinity rank must be filled in.
 func (scheduler *Scheduler) Cost(request *Request, candidate *Candidate) float64 {
 	cost := 0.0
 	for _, scorer := range scheduler.scorers {
@@ -87,13 +89,13 @@
 	return cost
 }
 
-// Term is one part of the cost of a candidate, in seconds of engine time.
+// Term is one term of the cost of a candidate, in seconds of engine time.
 type Term struct {
 	Name    string
 	Seconds float64
 }
 
-// Terms returns the parts of a candidate's cost that are not 0.
+// Terms returns the non-zero terms of a candidate's cost.
 func (scheduler *Scheduler) Terms(request *Request, candidate *Candidate) []Term {
 	terms := make([]Term, 0, len(scheduler.scorers))
 	for _, scorer := range scheduler.scorers {
@@ -104,8 +106,8 @@
 	return terms
 }
 
-// rank fills in the places of the few highest affinities; all others share the
-// last place. It is linear in the candidates.
+// assignAffinityRanks ranks the candidates with the highest affinities; all others get
+// maximumRank. It takes linear time.
 func rank(candidates []Candidate, accepted []int) {
 	for _, index := range accepted {
 		candidates[index].AffinityRank = maximumRank
--- a/internal/routing/scheduler_test.go
+++ b/internal/routing/scheduler_test.go
@@ -75,8 +75,8 @@
 	require.Zero(t, candidates[0].HitBlocks)
 }
 
-// BenchmarkDecision is a whole placement against a 64-block prompt and 100
-// engines, half of which hold some of it.
+// BenchmarkDecision measures a complete placement of a 64-block prompt by number of engines,
+// half of which hold part of it.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{10, 100, 400} {
 		b.Run(fmt.Sprint(engines, "engines"), func(b *testing.B) {
--- a/internal/routing/score_affinity.go
+++ b/internal/routing/score_affinity.go
@@ -1,16 +1,16 @@
 package routing
 
-// copyCost is the share of a prompt's prefill that one more copy of its prefix
-// costs later on: it takes cache memory from another prefix.
+// extraCopyCost is the later cost of one more copy of a prefix, as a share of the prompt's
+// prefill: the copy displaces another prefix from the cache.
 const copyCost = 0.1
 
-// maximumRank bounds the rank, so that distant ranks do not differ.
+// maximumRank bounds the affinity rank. Candidates beyond it are not distinguished.
 const maximumRank = 4
 
-// AffinityScorer charges for starting a new copy of a prefix away from its
-// first endpoints in rendezvous order. Nodes that decide at the same moment,
-// without knowing of each other, choose alike by it; a prefix that is hot
-// enough to queue spreads to the next rank.
+// AffinityScorer charges for starting a new copy of a prefix away from its first
+// endpoints in rendezvous order. It makes nodes that decide concurrently, without
+// knowing of each other, choose alike. A hot prefix whose queue costs more than a copy
+// spreads to the next rank.
 type AffinityScorer struct{}
 
 // Name returns the name of the term.
--- a/internal/routing/score_turn.go
+++ b/internal/routing/score_concurrency.go
@@ -1,7 +1,7 @@
 package routing
 
-// TurnScorer estimates the wait for a turn at a server without prompts: the
-// requests that run there, each taking its share of a typical one's time.
+// ConcurrencyScorer estimates the delay on a server of a plain service: each running
+// request adds a fixed delay.
 type TurnScorer struct{}
 
 // Name returns the name of the term.
--- a/internal/routing/score_copy.go
+++ b/internal/routing/score_copy.go
@@ -1,10 +1,10 @@
 package routing
 
-// CopyScorer charges for making one more copy of the shared blocks of a prompt
-// away from its first endpoints in rendezvous order: the time to recompute or to
-// import what the endpoint does not hold. Nodes that know nothing of each other
-// choose alike by it, and neither the engines nor the link of the store of kept
-// KV cache do the same work in many places.
+// CopyScorer charges for one more copy of the shared blocks of a prompt away from its
+// first endpoints in rendezvous order: the time to compute or to import the missing
+// blocks. It makes nodes that know nothing of each other choose alike, so that blocks
+// are not computed on many engines or fetched many times over the link of the KV cache
+// store.
 type CopyScorer struct{}
 
 // Name returns the name of the term.
--- a/internal/routing/score_distance.go
+++ b/internal/routing/score_distance.go
@@ -1,15 +1,15 @@
 package routing
 
 const (
-	// distanceCost is the price of one step of distance, in seconds: about the
-	// round trips of a new connection and of the request, and some reluctance.
+	// distanceCost is the cost of one step of distance, in seconds: about the round
+	// trips of a new connection and of the request, plus a bias towards near endpoints.
 	distanceCost = 0.02
-	// distanceByteCost is the price of carrying one byte one step, in seconds.
-	// Traffic between zones is paid for by its size.
+	// distanceByteCost is the cost of transferring one byte by one step, in seconds.
+	// Traffic between zones is billed by size.
 	distanceByteCost = 3e-6
 )
 
-// DistanceScorer charges for endpoints outside the zone.
+// DistanceScorer charges for endpoints in other zones and regions.
 type DistanceScorer struct{}
 
 // Name returns the name of the term.
--- a/internal/routing/score_opaque_test.go
+++ b/internal/routing/score_test.go
@@ -19,8 +19,8 @@
 	holder := &Candidate{AffinityRank: 1, HitBlocks: 8_000, ImportBlocks: 8_000}
 	scorer := CopyScorer{}
 	require.Zero(t, scorer.Score(longPrompt, first))
-	require.InDelta(t, 0.8, scorer.Score(longPrompt, second), 1e-9, "it would be computed")
-	require.InDelta(t, 0.2, scorer.Score(longPrompt, kept), 1e-9, "it would be imported")
+	require.InDelta(t, 0.8, scorer.Score(longPrompt, second), 1e-9, "the blocks must be computed")
+	require.InDelta(t, 0.2, scorer.Score(longPrompt, kept), 1e-9, "the blocks can be imported")
 	require.Zero(t, scorer.Score(longPrompt, holder))
 }
 
@@ -43,7 +43,7 @@
 	scheduler := NewScheduler(WorkScorer{}, WaitScorer{}, ReplacedScorer{})
 	require.Equal(t, 1, scheduler.Schedule(&request, candidates).Index)
 	candidates[1].QueuedTokens = 17_000
-	require.Equal(t, 0, scheduler.Schedule(&request, candidates).Index, "0.4 s are lost, 0.425 s would be waited")
+	require.Equal(t, 0, scheduler.Schedule(&request, candidates).Index, "the loss of 0.4 s is less than the wait of 0.425 s")
 }
 
 func TestADecisionNamesTheNextBestAndTheTermsOfBoth(t *testing.T) {
--- a/internal/routing/score_wait_test.go
+++ b/internal/routing/score_wait_test.go
@@ -15,5 +15,5 @@
 	require.InDelta(t, 1+0.01*(1+decodeShare*23), WaitScorer{}.Score(request, &full), 1e-9)
 	require.Less(t, WaitScorer{}.Score(request, &unknown), 0.02)
 	full.QueuedTokens = 50_000
-	require.Greater(t, WaitScorer{}.Score(request, &full), 5.0, "prompts that take longer count instead")
+	require.Greater(t, WaitScorer{}.Score(request, &full), 5.0, "queued prefill counts if it takes longer")
 }
--- a/internal/routing/score_work.go
+++ b/internal/routing/score_work.go
@@ -1,7 +1,7 @@
 package routing
 
-// WorkScorer is the engine time that the request itself spends on the part of
-// its prompt that the endpoint does not hold.
+// WorkScorer charges the engine time for the part of the prompt that the endpoint does
+// not hold.
 type WorkScorer struct{}
 
 // Name returns the name of the term.
@@ -13,8 +13,8 @@
 	return request.WorkWeight * seconds(request, candidate, recompute, imported)
 }
 
-// Missing splits the prompt tokens that the endpoint does not hold into those
-// that it must compute and those that it can import.
+// MissingTokens splits the prompt tokens that the endpoint does not hold into those that
+// it must compute and those that it can import.
 func Missing(request *Request, candidate *Candidate) (recompute, imported int) {
 	covered := candidate.HitBlocks
 	if importSpeed(request, candidate) > request.PrefillTokensPerSecond && candidate.ImportBlocks > covered {
@@ -24,7 +24,7 @@
 	return max(0, request.PromptTokens-covered*request.BlockTokens), imported
 }
 
-// importSpeed is how many tokens the candidate takes from elsewhere in a second.
+// importRate returns how many tokens per second the candidate can import.
 func importSpeed(request *Request, candidate *Candidate) float64 {
 	if candidate.ImportTokensPerSecond > 0 {
 		return candidate.ImportTokensPerSecond
--- a/internal/routing/slots.go
+++ b/internal/routing/slots.go
@@ -1,10 +1,10 @@
 package routing
 
-// spareSlots is the share of all slots up to which there are enough: answers come in bursts,
-// so that some endpoints are full before all are.
+// scarceUtilization is the slot utilization above which slots are scarce. Load is bursty, so
+// some endpoints are full long before all are.
 const spareSlots = 0.5
 
-// SlotsTaken is the share of the slots that are taken at the endpoints that may be used.
+// SlotUtilization returns the share of slots in use on the endpoints that accept requests.
 func SlotsTaken(candidates []Candidate) float64 {
 	running, slots := 0, 0
 	for i := range candidates {
@@ -19,5 +19,5 @@
 	return float64(running) / float64(slots)
 }
 
-// Scarce reports whether slots are scarce at the endpoints.
+// SlotsScarce reports whether the endpoints are short of free slots.
 func Scarce(candidates []Candidate) bool { return SlotsTaken(candidates) > spareSlots }
