--- a/internal/exchange/driver.go
+++ b/internal/exchange/driver.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// message is what an attempt's goroutine tells the driver.
+// update is sent by an attempt's goroutine to the driver.
 type message struct {
 	event  Event
 	result Result
@@ -20,7 +20,7 @@
 	raw    []byte
 }
 
-// run is the state of one request's performance.
+// driver runs one request: it performs the actions of its Machine and feeds events back.
 type run struct {
 	request   Request
 	machine   *Machine
@@ -40,8 +40,8 @@
 	heardAt   time.Time
 }
 
-// Run carries a request to its end. The context ends with the caller or with
-// the request's time.
+// Run processes a request to completion. The context must end when the caller
+// disconnects or when the request's deadline passes.
 func Run(ctx context.Context, request Request) Outcome {
 	started := boottime.Now()
 	run := &run{
@@ -83,7 +83,7 @@
 	run.queue = append(run.queue, run.machine.Step(boottime.Now(), event)...)
 }
 
-// await waits for the next thing that happens.
+// await waits for the next event and steps the machine.
 func (run *run) await(ctx context.Context) {
 	select {
 	case message := <-run.inbox:
@@ -104,7 +104,7 @@
 	}
 }
 
-// over says why the request's context ended.
+// contextEvent returns the event for the end of the request's context.
 func (run *run) over(ctx context.Context) Event {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		run.result = ResultSilent
@@ -113,7 +113,7 @@
 	return CallerLeft{}
 }
 
-// heard sets the clock of the silence anew.
+// recordActivity restarts the silence timer after an event of the response.
 func (run *run) heard(event Event) {
 	switch event.(type) {
 	case Opened, Arrived:
@@ -123,7 +123,7 @@
 	}
 }
 
-// doubt decides on an attempt that has been silent for long.
+// checkSilence reports a silent attempt to the machine if its placement has stalled.
 func (run *run) doubt() {
 	if !run.placement.Doubtful(boottime.Since(run.heardAt)) {
 		run.silence.Reset(run.patience)
@@ -171,7 +171,7 @@
 	}
 }
 
-// give follows a write to the caller.
+// checkWrite handles the result of a write to the caller.
 func (run *run) give(err error) {
 	if err != nil {
 		run.step(CallerLeft{})
@@ -187,7 +187,7 @@
 	run.outcome.Status = answer.Status
 	run.outcome.FirstAfter = boottime.Since(run.started)
 	if run.request.Caller.Answer(answer) != nil {
-		run.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller left before the end", "send it again").WithOutcome(failure.Ran)
+		run.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again").WithOutcome(failure.Ran)
 	}
 }
 
@@ -225,7 +225,8 @@
 	go perform(attempt, run.placement, action, run.inbox)
 }
 
-// release ends the current attempt. What was heard of it goes before other.
+// endAttempt ends the current attempt, if any. A result already observed overrides
+// fallback, unless fallback is ResultServed.
 func (run *run) release(other Result) {
 	if run.placement == nil {
 		return
@@ -242,7 +243,7 @@
 	run.placement, run.cancel, run.inbox = nil, nil, nil
 }
 
-// perform sends one attempt and tells of all that comes of it, until its
+// runAttempt sends one attempt and reports its updates until it is complete or its
 // context ends.
 func perform(ctx context.Context, placement Placement, action Send, inbox chan<- message) {
 	tell := func(message message) bool {
--- a/internal/exchange/driver_bench_test.go
+++ b/internal/exchange/driver_bench_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// quiet is a caller that takes everything.
+// discardCaller is a Caller that discards the response.
 type quiet struct{}
 
 func (quiet) Answer(*Answer) error        { return nil }
 func (quiet) Open(int, http.Header) error { return nil }
 func (quiet) Forward([]byte) error        { return nil }
 
-// BenchmarkStream is the time and the allocations of carrying one stream of 50 events,
-// without sockets.
+// BenchmarkStream measures the time and the allocations of forwarding a stream of 50 events
+// without network connections.
 func BenchmarkStream(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/exchange/driver_test.go
+++ b/internal/exchange/driver_test.go
@@ -15,10 +15,10 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// server answers one attempt.
+// fakeServer responds to one attempt.
 type server func(ctx context.Context, resumes bool, after int64) (*Reply, error)
 
-// servers places attempts on servers in their order.
+// placer places each attempt on the next server of a list.
 type servers struct {
 	list    []server
 	next    int
@@ -29,7 +29,7 @@
 
 func (servers *servers) Place([]string) (Placement, *Unplaced) {
 	if servers.next >= len(servers.list) {
-		return nil, &Unplaced{Reason: "none is left", Lasting: true}
+		return nil, &Unplaced{Reason: "no servers left", Lasting: true}
 	}
 	servers.next++
 	return &placed{servers: servers, number: servers.next - 1}, nil
@@ -58,7 +58,7 @@
 	return placed.servers.list[placed.number](ctx, resumes, after)
 }
 
-// page collects what a caller gets.
+// recorder is a Caller that records the response.
 type page struct {
 	heads  int
 	status int
@@ -102,7 +102,7 @@
 	return nil, ctx.Err()
 }
 
-// streams sends events from after+1 to last, and then the error.
+// streams returns a server that sends the events from after+1 to last and then fails with end.
 func streams(last int64, end error) server {
 	return func(_ context.Context, resumes bool, after int64) (*Reply, error) {
 		next := int64(1)
@@ -192,7 +192,7 @@
 	chosen := &servers{list: []server{hangs, whollyAnswers(200, "done")}}
 	chosen.doubts = func(time.Duration) bool {
 		if len(chosen.results) > 0 {
-			// On a busy machine the answer of the other one may take longer than the patience, too.
+			// On a busy machine the second server's response may also exceed the silence timeout.
 			return false
 		}
 		asked++
--- a/internal/exchange/events.go
+++ b/internal/exchange/events.go
@@ -6,59 +6,60 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Event is what happened to the request.
+// Event is an input of the Machine.
 type Event interface{ event() }
 
-// Placed says that a server was chosen.
+// Placed reports that a server was chosen.
 type Placed struct{ Server string }
 
-// Unplaced says that no server can take the request now.
+// Unplaced reports that no server accepts the request now.
 type Unplaced struct {
 	Reason string
-	// Lasting says that waiting does not help.
+	// Permanent is set if waiting does not help.
 	Lasting bool
-	// RetryAfter is when the caller should come back, if that is known; else 0.
+	// RetryAfter is the retry delay for the caller; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Refused is a server's own word that it did not run the attempt and never will.
+// Refused reports that the server stated that it did not and will not run the attempt.
 type Refused struct{ Reason string }
 
-// Unreached says that no connection came up: nothing was sent.
+// Unreached reports that nothing was sent to the server, usually because no connection
+// could be established.
 type Unreached struct{ Reason string }
 
-// Answered says that the whole answer is there. Faulty means that the server
-// failed, so that another may do better.
+// Answered reports a complete response. Faulty is set if it is a server error, so that a
+// retry on another server may succeed.
 type Answered struct{ Faulty bool }
 
-// Opened says that a server began a stream.
+// Opened reports that the server began a stream.
 type Opened struct{}
 
-// Arrived is one whole event of the stream.
+// Arrived reports a complete event of the stream.
 type Arrived struct {
 	ID    int64
 	HasID bool
 }
 
-// Ended says that the stream came to its own end.
+// Ended reports that the stream is complete.
 type Ended struct{}
 
-// Broken says that the attempt failed after it was sent: it may have run.
+// Broken reports that the attempt failed after it was sent, so that it may have run.
 type Broken struct{ Reason string }
 
-// Silent says that nothing was heard of the attempt for longer than expected.
+// Silent reports that the attempt has made no progress for longer than expected.
 type Silent struct{}
 
-// Late says that the attempt has not begun by the time by which it must.
+// Late reports that the attempt has not begun by its start deadline.
 type Late struct{}
 
-// Expired says that the request's time is over.
+// Expired reports that the request's deadline has passed.
 type Expired struct{}
 
-// Stopping says that this process ends now.
+// Stopping reports that this process is about to exit.
 type Stopping struct{}
 
-// CallerLeft says that nobody wants the answer any more.
+// CallerLeft reports that the caller has disconnected.
 type CallerLeft struct{}
 
 func (Placed) event()     {}
@@ -76,44 +77,44 @@
 func (Stopping) event()   {}
 func (CallerLeft) event() {}
 
-// Action is what the driver must do.
+// Action is an output of the Machine, which the driver performs.
 type Action interface{ action() }
 
-// Place asks for a server, after a pause.
+// Place chooses a server after a delay.
 type Place struct {
 	Excluded []string
 	Pause    time.Duration
 }
 
-// Send opens an attempt at the placed server. A stream goes on after the event
-// After if Resumes is set.
+// Send starts an attempt on the chosen server. If Resumes is set, the stream continues
+// after the event with the ID After.
 type Send struct {
 	Resumes bool
 	After   int64
 }
 
-// Cancel ends the attempt's work at its server.
+// Cancel cancels the current attempt.
 type Cancel struct{}
 
-// Keep puts the current answer aside, for Deliver if no better one comes.
+// Stash keeps the current response for Deliver in case the retry yields no better one.
 type Keep struct{}
 
-// Deliver gives the current answer, or the one put aside, to the caller.
+// Deliver writes the current response, or else the stashed one, to the caller.
 type Deliver struct{}
 
-// Open gives the head of a stream to the caller.
+// Open writes the head of a stream to the caller.
 type Open struct{}
 
-// Forward gives the event that has arrived to the caller.
+// Forward writes the event that has arrived to the caller.
 type Forward struct{}
 
-// Finish ends the caller's stream as complete.
+// Finish completes the caller's stream.
 type Finish struct{}
 
-// Cut breaks the caller's stream off, so that it cannot be taken for complete.
+// Cut aborts the caller's stream in such a way that it cannot be mistaken for complete.
 type Cut struct{ Failure *failure.Failure }
 
-// Fail gives the caller the final word of a request that was given up.
+// Fail writes the failure of a request that was given up to the caller.
 type Fail struct{ Failure *failure.Failure }
 
 func (Place) action()   {}
--- a/internal/exchange/machine.go
+++ b/internal/exchange/machine.go
@@ -1,8 +1,7 @@
-// Package exchange carries one request to servers until its caller has the
-// whole answer or a final refusal. It serves plain requests and streams alike.
+// Package exchange sends one request to servers, with retries, until its caller has a
+// complete response or a final failure. It handles plain requests and streams.
 //
-// Machine is a pure state machine: events go in, actions come out. Driver
-// performs the actions.
+// Machine is a pure state machine that maps events to actions. Run performs the actions.
 package exchange
 
 import (
@@ -12,33 +11,33 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Rules bound the attempts of one request.
+// Rules limits the attempts of one request.
 type Rules struct {
-	// Repeatable says that a second run does no harm, or that a stream can go on
-	// after its last event.
+	// Repeatable is set if the request may run more than once, or if its stream can be
+	// resumed after the last event.
 	Repeatable bool
-	// Runs bounds the attempts that may have run.
+	// MaxRuns bounds the attempts that may have run.
 	Runs int
-	// Sends bounds all attempts, also those that certainly did not run.
+	// MaxSends bounds all attempts, including those that certainly did not run.
 	Sends int
-	// PlacementWait bounds the time spent waiting for a server with room.
+	// PlacementWait bounds the wait for a server with free capacity.
 	PlacementWait time.Duration
-	// RetryAfter is when a caller that was given up on should come back.
+	// RetryAfter is the minimum retry delay given to the caller with a failure.
 	RetryAfter time.Duration
 }
 
-// DefaultSends is the usual bound of all attempts of a request.
+// DefaultMaxSends is the default for Rules.MaxSends.
 const DefaultSends = 6
 
-// placementPause is the wait between two looks for a server with room.
+// placementRetryDelay is the delay between placements while no server has free capacity.
 const placementPause = 20 * time.Millisecond
 
-// Budget permits or denies one more attempt; see package retry.
+// Budget permits or denies retries; see package retry.
 type Budget interface {
 	Withdraw(now time.Time) bool
 }
 
-// phase is where an attempt stands.
+// phase is the phase of the current attempt.
 type phase int
 
 const (
@@ -48,12 +47,12 @@
 	finished
 )
 
-// Machine is the state of one request.
+// Machine is the state machine of one request.
 //
-// Invariants: an attempt follows one that may have run only if the request is
-// repeatable; at most Rules.Runs attempts may have run; the caller gets one
-// head and one end, and no event twice; a failure states NotRun only if every
-// attempt was refused by its server or never reached one.
+// Invariants: an attempt that may have run is retried only if the request is
+// repeatable; at most Rules.MaxRuns attempts may have run; the caller gets one head and
+// one end, and no event twice; a failure states NotRun only if every attempt was refused
+// by its server or never reached one.
 type Machine struct {
 	rules  Rules
 	budget Budget
@@ -64,10 +63,10 @@
 	sends    int
 	// runs counts the attempts that may have run.
 	runs int
-	// waitingSince is when the search for a server began; zero while none goes on.
+	// placingSince is when the current placement began; zero if there is none.
 	waitingSince time.Time
-	// comeBack is when servers will take requests again, by their own word; 0 if that is not
-	// known.
+	// retryAfter is the time until servers accept requests again, as far as they have
+	// announced it; 0 if unknown.
 	comeBack time.Duration
 	kept     bool
 	opened   bool
@@ -75,8 +74,8 @@
 	last     int64
 }
 
-// NewMachine returns the machine of a new request. A stream that the caller
-// resumes itself begins after the event resumeAfter.
+// NewMachine returns the machine of a new request. If the caller resumes a stream itself,
+// resumeAfter is the ID of the last event that it has.
 func NewMachine(rules Rules, budget Budget, resumeAfter *int64) *Machine {
 	machine := &Machine{rules: rules, budget: budget}
 	if resumeAfter != nil {
@@ -91,7 +90,7 @@
 	return []Action{Place{}}
 }
 
-// Finished reports whether the caller has the final answer.
+// Finished reports whether the request has ended.
 func (machine *Machine) Finished() bool { return machine.phase == finished }
 
 // Runs returns the number of attempts that may have run.
@@ -100,7 +99,8 @@
 // Sends returns the number of attempts.
 func (machine *Machine) Sends() int { return machine.sends }
 
-// Step takes one event. After the final answer it returns no actions.
+// Step processes an event and returns the actions to perform. It returns none once the
+// request has ended.
 func (machine *Machine) Step(now time.Time, event Event) []Action {
 	if machine.phase == finished {
 		return nil
@@ -112,7 +112,7 @@
 		return machine.unplaced(now, event)
 	case Refused:
 		machine.runs--
-		return machine.another(now, "the server refused it: "+event.Reason, true)
+		return machine.another(now, "the server refused the request: "+event.Reason, true)
 	case Unreached:
 		machine.runs--
 		return machine.another(now, "the server cannot be reached: "+event.Reason, false)
@@ -126,17 +126,17 @@
 		machine.phase = finished
 		return []Action{Finish{}}
 	case Broken:
-		return machine.another(now, "the attempt broke: "+event.Reason, true)
+		return machine.another(now, "the attempt failed after it was sent: "+event.Reason, true)
 	case Silent:
 		return machine.silent(now)
 	case Late:
-		return machine.another(now, "it did not begin in time", true)
+		return machine.another(now, "the server did not start the request in time", true)
 	case Expired:
-		return machine.abandon(failure.KindDeadline, "the request's time is over", "allow it more time, or send it again")
+		return machine.abandon(failure.KindDeadline, "the request's deadline has passed", "allow it more time, or send it again")
 	case Stopping:
-		return machine.abandon(failure.KindStopping, "this node stops", "send it to another node")
+		return machine.abandon(failure.KindStopping, "this node is shutting down", "send the request to another node")
 	case CallerLeft:
-		return machine.abandon(failure.KindCallerLeft, "the caller left before the end", "send it again")
+		return machine.abandon(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again")
 	default:
 		return nil
 	}
@@ -147,7 +147,7 @@
 	machine.server = event.Server
 	machine.waitingSince = time.Time{}
 	machine.sends++
-	// Counted as run from the moment it is sent until the server itself denies it.
+	// The attempt counts as run unless the server denies it or was not reached.
 	machine.runs++
 	return []Action{Send{Resumes: machine.resumes, After: machine.last}}
 }
@@ -157,13 +157,13 @@
 		return []Action{Place{Excluded: machine.excluded, Pause: placementPause}}
 	}
 	machine.comeBack = event.RetryAfter
-	return machine.give(failure.KindNoEndpoint, "no server can take the request: "+event.Reason, "send it again, or add servers")
+	return machine.give(failure.KindNoEndpoint, "no server can accept the request: "+event.Reason, "send it again, or add servers")
 }
 
 func (machine *Machine) answered(now time.Time, event Answered) []Action {
 	if machine.opened {
-		// The head of the first server is out; this one cannot be shown.
-		return machine.another(now, "the server that should go on failed", true)
+		// The caller already has the head of another response.
+		return machine.another(now, "the server did not resume the stream", true)
 	}
 	if event.Faulty && machine.mayGoOn(now, true) {
 		machine.kept = true
@@ -179,7 +179,7 @@
 		return nil
 	}
 	machine.opened = true
-	// A faulty answer that was put aside cannot be shown any more.
+	// The stashed response can no longer be delivered.
 	machine.kept = false
 	return []Action{Open{}}
 }
@@ -194,7 +194,7 @@
 	return []Action{Forward{}}
 }
 
-// silent gives an attempt up only if another one may follow.
+// silent cancels a silent attempt only if it may be retried.
 func (machine *Machine) silent(now time.Time) []Action {
 	if machine.phase == placing || !machine.mayGoOn(now, true) {
 		return nil
@@ -202,8 +202,8 @@
 	return append([]Action{Cancel{}}, machine.place(now)...)
 }
 
-// another follows a failed attempt. Arrived says that the server got it, so that
-// one more counts against the budget.
+// retryOrFail handles a failed attempt. If the attempt reached the server, a retry is
+// charged to the budget.
 func (machine *Machine) another(now time.Time, reason string, arrived bool) []Action {
 	if machine.mayGoOn(now, arrived) {
 		return append([]Action{Cancel{}}, machine.place(now)...)
@@ -219,7 +219,8 @@
 	return append([]Action{Cancel{}}, machine.give(kind, fmt.Sprintf("given up after %d attempts: %s", machine.sends, reason), "send it again")...)
 }
 
-// mayGoOn decides on one more attempt and pays for it.
+// mayRetry reports whether one more attempt is permitted, and charges it to the budget
+// if the failed one reached the server.
 func (machine *Machine) mayGoOn(now time.Time, arrived bool) bool {
 	switch {
 	case machine.runs > 0 && !machine.rules.Repeatable:
@@ -240,7 +241,7 @@
 	return []Action{Place{Excluded: machine.excluded}}
 }
 
-// abandon ends the request whatever its attempt does.
+// abandon ends the request and cancels its current attempt.
 func (machine *Machine) abandon(kind failure.Kind, problem, remedy string) []Action {
 	if machine.phase == placing {
 		return machine.give(kind, problem, remedy)
--- a/internal/exchange/machine_test.go
+++ b/internal/exchange/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// purse is a budget of a fixed size.
+// fixedBudget is a Budget of a fixed number of retries.
 type purse struct{ left int }
 
 func (purse *purse) Withdraw(time.Time) bool {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// observer drives a machine and checks what it does against the promises.
+// checker drives a machine with events and checks the invariants of its actions.
 type observer struct {
 	t       *rapid.T
 	rules   Rules
@@ -42,14 +42,14 @@
 
 func (observer *observer) take(actions []Action) {
 	for _, action := range actions {
-		require.False(observer.t, observer.ended, "%T after the end", action)
+		require.False(observer.t, observer.ended, "%T after the request has ended", action)
 		switch action := action.(type) {
 		case Place:
 			observer.placing, observer.inFlight = true, false
 		case Send:
 			observer.sends++
 			if observer.mayRun > 0 {
-				require.True(observer.t, observer.rules.Repeatable, "sent again although it may have run")
+				require.True(observer.t, observer.rules.Repeatable, "retried although an attempt may have run")
 			}
 			observer.mayRun++
 			observer.inFlight = true
@@ -70,7 +70,7 @@
 			observer.ended = true
 		case Fail:
 			require.Zero(observer.t, observer.heads)
-			require.Equal(observer.t, action.Failure.Outcome == failure.NotRun, observer.mayRun == 0, "the outcome is not what happened")
+			require.Equal(observer.t, action.Failure.Outcome == failure.NotRun, observer.mayRun == 0, "the outcome contradicts the attempts")
 			observer.ended = true
 		}
 	}
@@ -89,13 +89,13 @@
 	}
 	actions := observer.machine.Step(observer.now, event)
 	if arrived, isEvent := event.(Arrived); isEvent && len(actions) > 0 {
-		require.Greater(observer.t, arrived.ID, observer.lastID, "an event twice, or out of order")
+		require.Greater(observer.t, arrived.ID, observer.lastID, "an event was forwarded twice or out of order")
 		observer.lastID = arrived.ID
 	}
 	observer.take(actions)
 }
 
-// draw chooses an event that can happen now.
+// drawEvent draws an event that is possible in the current state.
 func (observer *observer) draw() Event {
 	if observer.placing && !observer.inFlight {
 		observer.placing = false
@@ -138,11 +138,11 @@
 			observer.step(observer.draw())
 		}
 		require.Equal(t, observer.ended, observer.machine.Finished())
-		require.Empty(t, observer.machine.Step(observer.now, Arrived{ID: 99, HasID: true}), "something after the end")
+		require.Empty(t, observer.machine.Step(observer.now, Arrived{ID: 99, HasID: true}), "no actions after the request has ended")
 	})
 }
 
-// script runs a fixed course and returns the actions of its last event.
+// lastActions runs a machine through a sequence of events and returns the actions of the last.
 func script(rules Rules, budget int, resumeAfter *int64, events ...Event) []Action {
 	now := time.Unix(0, 0)
 	machine := NewMachine(rules, &purse{left: budget}, resumeAfter)
@@ -160,7 +160,7 @@
 
 func TestARefusalIsTriedElsewhereAndABreakIsNot(t *testing.T) {
 	require.Contains(t, script(once, 1, nil, Placed{Server: "a"}, Refused{}), Place{Excluded: []string{"a"}})
-	require.Contains(t, script(once, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "nothing arrived: nothing to pay for")
+	require.Contains(t, script(once, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "an attempt that was not sent costs no budget")
 	broken := script(once, 9, nil, Placed{Server: "a"}, Broken{})
 	require.Equal(t, failure.Unknown, broken[1].(Fail).Failure.Outcome)
 	denied := script(once, 0, nil, Placed{Server: "a"}, Refused{})
@@ -170,8 +170,8 @@
 func TestAStreamGoesOnAfterItsLastWholeEvent(t *testing.T) {
 	events := []Event{Placed{Server: "a"}, Opened{}, Arrived{ID: 1, HasID: true}, Arrived{ID: 3, HasID: true}, Broken{}, Placed{Server: "b"}}
 	require.Equal(t, []Action{Send{Resumes: true, After: 3}}, script(twice, 1, nil, events...))
-	require.Empty(t, script(twice, 1, nil, append(events, Opened{})...), "the caller has a head already")
-	require.Empty(t, script(twice, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "it has this event")
+	require.Empty(t, script(twice, 1, nil, append(events, Opened{})...), "the caller already has a head")
+	require.Empty(t, script(twice, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "the caller already has this event")
 	require.Equal(t, []Action{Forward{}}, script(twice, 1, nil, append(events, Opened{}, Arrived{ID: 4, HasID: true})...))
 	after := int64(7)
 	require.Equal(t, []Action{Send{Resumes: true, After: 7}}, script(twice, 1, &after, Placed{Server: "a"}))
@@ -182,7 +182,7 @@
 	require.Contains(t, script(twice, 1, nil, append(events, Broken{})...), Deliver{})
 	require.Contains(t, script(twice, 1, nil, append(events, Expired{})...), Deliver{})
 	require.Equal(t, []Action{Deliver{}}, script(twice, 1, nil, append(events, Answered{})...))
-	require.Equal(t, []Action{Deliver{}}, script(once, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "it may have run")
+	require.Equal(t, []Action{Deliver{}}, script(once, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "the attempt may have run")
 }
 
 func TestAFullFleetIsWaitedForOnlyAWhile(t *testing.T) {
@@ -193,5 +193,5 @@
 	require.Equal(t, []Action{Place{Pause: placementPause}}, machine.Step(start.Add(40*time.Millisecond), Unplaced{}))
 	final := machine.Step(start.Add(60*time.Millisecond), Unplaced{})[0].(Fail).Failure
 	require.Equal(t, failure.NotRun, final.Outcome)
-	require.Equal(t, time.Second, final.RetryAfter, "the caller hears when to come back")
+	require.Equal(t, time.Second, final.RetryAfter, "the failure carries the retry delay")
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -8,14 +8,14 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Answer is a server's whole answer.
+// Answer is a complete response of a server.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Reply is what a server begins to answer. Either Whole is set, or the answer is
+// Reply is the beginning of a server's response. Either Whole is set, or the response is
 // a stream whose events Next returns until io.EOF.
 type Reply struct {
 	Status int
@@ -25,106 +25,107 @@
 	Close  func()
 }
 
-// StreamEvent is one whole event of a stream.
+// StreamEvent is one complete event of a stream.
 type StreamEvent struct {
 	Raw   []byte
 	ID    int64
 	HasID bool
 }
 
-// Result says how an attempt ended, for what is believed of its server.
+// Result is how an attempt ended, as evidence of the state of its server.
 type Result int
 
 // The results of attempts.
 const (
-	// ResultNeutral says nothing of the server: the caller left, say.
+	// ResultNeutral is no evidence of the server's state: the caller left, for example.
 	ResultNeutral Result = iota
 	ResultServed
 	ResultFaulty
 	ResultRefused
 	ResultUnreached
 	ResultBroken
-	// ResultCutOff says that the server closed the connection before its whole answer, as
-	// one that ends does.
+	// ResultCutOff means that the server closed the connection before its complete response,
+	// as one that crashes does.
 	ResultCutOff
 	ResultSilent
 )
 
-// ErrRefused is a server's word that it did not run an attempt.
+// ErrRefused is returned if the server stated that it did not run the attempt.
 type ErrRefused struct {
 	Reason string
-	// LoadedVersion is the version that the server has, if it said so.
+	// LoadedVersion is the version that the server has loaded; 0 if unknown.
 	LoadedVersion int64
-	// AnotherInstance says that another incarnation answered than the one that was
-	// asked: that one is gone for good.
+	// AnotherInstance is set if another incarnation responded, which shows that the
+	// intended one no longer exists.
 	AnotherInstance bool
 }
 
-// Error shows the reason.
+// Error implements the error interface.
 func (refused *ErrRefused) Error() string { return "not run: " + refused.Reason }
 
-// ErrUnreached says that no connection to the server came up.
+// ErrUnreached is returned if no connection to the server could be established.
 type ErrUnreached struct{ Reason string }
 
-// Error shows the reason.
+// Error implements the error interface.
 func (unreached *ErrUnreached) Error() string { return "not reached: " + unreached.Reason }
 
-// ErrWithdrawn says that nothing was sent, since the server wants no requests any more: it
-// said so after it was chosen.
+// ErrWithdrawn is returned if nothing was sent because the server announced after it was
+// chosen that it accepts no more requests.
 type ErrWithdrawn struct{ Reason string }
 
-// Error shows the reason.
+// Error implements the error interface.
 func (w *ErrWithdrawn) Error() string { return "not sent: " + w.Reason }
 
-// ErrCutOff says that the server closed the connection before its whole answer.
+// ErrCutOff is returned if the server closed the connection before its complete response.
 type ErrCutOff struct{ Reason string }
 
-// Error shows the reason.
+// Error implements the error interface.
 func (c *ErrCutOff) Error() string { return c.Reason }
 
-// Placement is a chosen server, on which the attempt counts as in flight.
+// Placement is an attempt on a chosen server. It counts as in flight until End is called.
 type Placement interface {
-	// Server names the server's incarnation.
+	// Server returns the name of the server's incarnation.
 	Server() string
-	// Send sends the request. ErrRefused, ErrUnreached and ErrWithdrawn promise that it did
-	// not run; any other error leaves that open.
+	// Send sends the request. The errors ErrRefused, ErrUnreached and ErrWithdrawn guarantee
+	// that it did not run; after any other error, it may have run.
 	Send(ctx context.Context, resumes bool, after int64) (*Reply, error)
-	// Started says that the server has begun to answer.
+	// ResponseStarted is called for each event of the response; only the first call counts.
 	Started()
-	// Doubtful reports whether an attempt that has been silent for a time is
-	// better tried elsewhere.
+	// Stalled reports whether an attempt that has been silent for the given time should
+	// be retried on another server.
 	Doubtful(silent time.Duration) bool
-	// StartBy is when the attempt must have begun, or it is ended; zero means that
-	// it may begin at any time.
+	// StartDeadline returns the time by which the response must have begun, or else the
+	// attempt is cancelled; zero means that there is no deadline.
 	StartBy() time.Time
-	// End says that the attempt is over.
+	// End records the result of the attempt.
 	End(result Result)
 }
 
 // Placer chooses servers.
 type Placer interface {
-	// Place returns a placement, or why there is none.
+	// Place begins an attempt on a server that is not excluded, or returns why none is
+	// available.
 	Place(excluded []string) (Placement, *Unplaced)
 }
 
-// Caller is where the answer goes. Its methods block while the caller reads
-// slowly; an error means that the caller has left.
+// Caller receives the response. Its methods block while the caller reads slowly. An error
+// means that the caller has disconnected.
 type Caller interface {
 	Answer(answer *Answer) error
 	Open(status int, header http.Header) error
 	Forward(event []byte) error
 }
 
-// Patience is how long an attempt may be silent before its placement is asked
-// whether to try another one.
+// SilenceTimeouts bounds how long an attempt may be silent before Placement.Stalled is
+// consulted.
 type Patience struct {
-	// First bounds the time to the answer or to the first event; Between, the
-	// pause between events. Zero means for ever.
+	// FirstEvent bounds the time to the response or to the first event, and BetweenEvents
+	// the gap between events. Zero means no bound.
 	First   time.Duration
 	Between time.Duration
 }
 
-// Request is one request to carry.
+// Request is a request to process with Run.
 type Request struct {
 	Rules       Rules
 	Budget      Budget
@@ -132,21 +133,22 @@
 	ResumeAfter *int64
 	Placer      Placer
 	Caller      Caller
-	// Stopping is closed when the process must end.
+	// Stopping is closed when the process must exit.
 	Stopping <-chan struct{}
-	// Observe, if set, hears of each event with the server it concerns.
+	// Observe, if set, is called with each event and the server that it concerns.
 	Observe func(server string, event Event)
 }
 
 // Outcome is how a request ended.
 type Outcome struct {
-	// Failure is nil if the caller has a whole answer of a server.
+	// Failure is nil if the caller got a complete response of a server.
 	Failure *failure.Failure
-	// Cut says that the caller's stream had begun and must be broken off.
+	// Cut is set if the caller's stream had begun and must be aborted.
 	Cut    bool
 	Status int
 	Runs   int
 	Sends  int
-	// FirstAfter is when the caller got the head of the answer, from the start.
+	// TimeToHead is the time from the start of Run until the head of the response was
+	// written to the caller.
 	FirstAfter time.Duration
 }
