--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -87,12 +87,14 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	// The bound is one token a node on top of the rate.
+	// Each node's fallback bucket starts with one token, so the bound is the rate plus one
+	// token per node.
 	require.LessOrEqual(t, given, nodes+int(limit.PerSecond*10))
 }
 
-// served runs tenants' arrivals through the rate limit and the fair queue of a
-// pool in virtual time, and returns the p99 wait of the tenants but the first.
+// p99Wait simulates tenants' arrivals at the rate limit and the fair queue of a pool in
+// virtual time, where the first tenant sends factor times its rate. It returns the 99th
+// percentile of the other tenants' latencies.
 func servedP99(factor float64) time.Duration {
 	const (
 		tenants  = 8
@@ -143,6 +145,6 @@
 
 func TestTenfoldTenantMovesOthersLittle(t *testing.T) {
 	quiet, loud := servedP99(1), servedP99(10)
-	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its share", quiet, loud)
+	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its rate", quiet, loud)
 	require.LessOrEqual(t, float64(loud), 1.1*float64(quiet))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides who is served when there is more work than places:
-// fleet-wide rates for each tenant, and a fair queue for the places of a pool.
-// It is pure: the caller passes the time.
+// Package admission implements overload control: fleet-wide rate limits for tenants and
+// a fair queue for the slots of a pool. Except for SlotPool, it does not read the clock:
+// the caller passes the time.
 package admission
 
 import (
@@ -10,14 +10,14 @@
 
 // Ticket is one waiting request.
 type Ticket struct {
-	// ID is unique among the waiting.
+	// ID is unique among the waiting requests.
 	ID       uint64
 	Tenant   string
 	Weight   float64
 	Priority int
-	// Cost in seconds of engine time.
+	// Cost is in seconds of engine time.
 	Cost float64
-	// Until is when the request is given up on.
+	// Until is when the request times out.
 	Until time.Time
 
 	finish  float64
@@ -25,9 +25,9 @@
 	index   int
 }
 
-// Queue orders waiting requests: a higher priority first, and within one
-// priority by start-time fair queueing over the tenants' weights, so that a
-// tenant that sends ten times its share waits behind its own requests.
+// Queue orders waiting requests by priority, highest first, and within one priority by
+// start-time fair queueing over the tenants' weights, so that a tenant that sends ten
+// times its share waits behind its own requests.
 type Queue struct {
 	tickets  ticketHeap
 	byID     map[uint64]*Ticket
@@ -36,6 +36,7 @@
 	arrivals uint64
 }
 
+// flowKey identifies the flow of a tenant within one priority.
 type tenantClass struct {
 	tenant   string
 	priority int
@@ -46,7 +47,7 @@
 	return &Queue{byID: map[uint64]*Ticket{}, virtual: map[int]float64{}, finishes: map[tenantClass]float64{}}
 }
 
-// Len is the number waiting.
+// Len returns the number of waiting requests.
 func (queue *Queue) Len() int { return len(queue.tickets) }
 
 // Push adds a request.
@@ -61,7 +62,7 @@
 	heap.Push(&queue.tickets, &ticket)
 }
 
-// Pop takes the request to serve next.
+// Pop removes and returns the request to serve next.
 func (queue *Queue) Pop() (Ticket, bool) {
 	if len(queue.tickets) == 0 {
 		return Ticket{}, false
@@ -70,14 +71,14 @@
 	delete(queue.byID, next.ID)
 	queue.virtual[next.Priority] = max(queue.virtual[next.Priority], next.finish)
 	if len(queue.tickets) == 0 {
-		// Nobody waits: earlier use no longer counts against anyone.
+		// The queue is empty, so earlier use no longer counts against any tenant.
 		queue.finishes = map[tenantClass]float64{}
 		queue.virtual = map[int]float64{}
 	}
 	return *next, true
 }
 
-// Remove takes a request out, such as one whose caller left.
+// Remove removes a waiting request, such as one whose caller has disconnected.
 func (queue *Queue) Remove(id uint64) bool {
 	ticket, found := queue.byID[id]
 	if !found {
@@ -88,8 +89,8 @@
 	return true
 }
 
-// Ahead counts the waiting that would be served before a new request of the
-// tenant, for an honest estimate of its wait.
+// Ahead returns how many waiting requests would be served before a new request of the
+// tenant, to estimate its wait.
 func (queue *Queue) Ahead(tenant string, weight, cost float64, priority int) int {
 	class := tenantClass{tenant: tenant, priority: priority}
 	finish := max(queue.virtual[priority], queue.finishes[class]) + cost/weight
--- a/internal/admission/places.go
+++ b/internal/admission/slots.go
@@ -10,11 +10,11 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// serviceMemory is the weight of the newest service time in the running mean.
+// holdTimeGain is the weight of the newest hold time in the moving average.
 const serviceMemory = 0.1
 
-// Places hands out the places of one pool on one node, through a Queue. It is
-// safe for concurrent use.
+// SlotPool is the concurrency limit of one pool on one node. Requests wait for free slots
+// in a Queue. It is safe for concurrent use.
 type Places struct {
 	mutex   sync.Mutex
 	queue   *Queue
@@ -22,16 +22,16 @@
 	taken   int
 	nextID  uint64
 	waiting map[uint64]chan struct{}
-	// service is the running mean of how long a place is held, in seconds.
+	// meanHoldTime is the moving average of how long a slot is held, in seconds.
 	service float64
 }
 
-// NewPlaces returns places of which none is taken.
+// NewSlotPool returns a pool of the given number of slots, all of which are free.
 func NewPlaces(total int) *Places {
 	return &Places{queue: NewQueue(), total: total, waiting: map[uint64]chan struct{}{}}
 }
 
-// Resize follows a change of the pool.
+// Resize changes the number of slots.
 func (places *Places) Resize(total int) {
 	places.mutex.Lock()
 	defer places.mutex.Unlock()
@@ -39,9 +39,9 @@
 	places.fill()
 }
 
-// Acquire waits for a place, at most until the ticket's time. A request whose
-// estimated wait is longer than that is refused at once. The returned function
-// gives the place back.
+// Acquire waits for a slot until ticket.Until at the latest. A request whose estimated
+// wait is longer than that is refused immediately. The returned function releases the
+// slot.
 func (places *Places) Acquire(ctx context.Context, ticket Ticket) (release func(), err error) {
 	admitted, id, refusal := places.enter(boottime.Now(), ticket)
 	if refusal != nil {
@@ -59,14 +59,15 @@
 	case <-ctx.Done():
 	}
 	if places.withdraw(id) {
-		return nil, places.refusal(failure.KindQueueTimeout, "no place became free in time", 0)
+		return nil, places.refusal(failure.KindQueueTimeout, "no slot became free before the queue timeout", 0)
 	}
-	// The place came in the same moment.
+	// The request was granted a slot concurrently with the timeout.
 	<-admitted
 	return places.releaser(), nil
 }
 
-// enter takes a place at once (nil channel) or queues.
+// acquireOrEnqueue either takes a free slot and returns a nil channel, or enqueues the
+// ticket and returns a channel that is closed when the request gets a slot.
 func (places *Places) enter(now time.Time, ticket Ticket) (<-chan struct{}, uint64, error) {
 	places.mutex.Lock()
 	defer places.mutex.Unlock()
@@ -77,7 +78,7 @@
 	ahead := places.queue.Ahead(ticket.Tenant, ticket.Weight, ticket.Cost, ticket.Priority)
 	wait := time.Duration(float64(ahead+1) * places.service / float64(max(1, places.total)) * float64(time.Second))
 	if now.Add(wait).After(ticket.Until) {
-		return nil, 0, places.refusal(failure.KindQueueFull, fmt.Sprintf("%d requests wait ahead", ahead), wait)
+		return nil, 0, places.refusal(failure.KindQueueFull, fmt.Sprintf("%d requests are queued ahead", ahead), wait)
 	}
 	places.nextID++
 	ticket.ID = places.nextID
@@ -88,7 +89,7 @@
 }
 
 func (places *Places) refusal(kind failure.Kind, problem string, wait time.Duration) error {
-	return failure.New(kind, problem, "send it again after the time given").WithRetryAfter(max(wait, time.Second))
+	return failure.New(kind, problem, "retry after the given delay").WithRetryAfter(max(wait, time.Second))
 }
 
 func (places *Places) withdraw(id uint64) bool {
--- a/internal/admission/share.go
+++ b/internal/admission/tokens.go
@@ -7,14 +7,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Rate is a tenant's fleet-wide limit.
+// Rate is a tenant's fleet-wide rate limit.
 type Rate struct {
 	PerSecond float64
 	Burst     int
 }
 
-// Ledger is the home of some tenants' rates: it holds their whole bucket and
-// hands out tokens to nodes. It is not safe for concurrent use.
+// TokenIssuer holds the fleet-wide token buckets of some tenants and issues their tokens
+// to nodes. It is not safe for concurrent use.
 type Ledger struct {
 	buckets map[string]*ledgerBucket
 }
@@ -24,12 +24,12 @@
 	limiter *rate.Limiter
 }
 
-// NewLedger returns a ledger of full buckets.
+// NewTokenIssuer returns an issuer whose buckets start full.
 func NewLedger() *Ledger {
 	return &Ledger{buckets: map[string]*ledgerBucket{}}
 }
 
-// Take hands out up to want tokens of a tenant; 0 means that the rate is used up.
+// Issue issues up to want tokens of a tenant; 0 means that the rate is exhausted.
 func (ledger *Ledger) Take(now time.Time, tenant string, limit Rate, want int) int {
 	bucket, found := ledger.buckets[tenant]
 	if !found || bucket.limit != limit {
@@ -44,7 +44,8 @@
 	return 0
 }
 
-// Share is a node's part of one tenant's rate.
+// TokenLease holds the tokens of one tenant that were issued to a node. They expire
+// after leaseTTL.
 type Share struct {
 	tokens   int
 	expires  time.Time
@@ -53,19 +54,19 @@
 	usedAt   time.Time
 }
 
-// The pace of shares.
 const (
-	// leaseLife is how long tokens may be kept before they lapse.
+	// leaseTTL is how long issued tokens may be used.
 	leaseLife = time.Second
-	// leaseSeconds of recent use are asked for at a time.
+	// leaseSeconds is the span of recent use for which tokens are requested at a time.
 	leaseSeconds = 0.2
-	useMemory    = 0.2
+	// usageGain is the weight of the newest measurement of the usage rate.
+	useMemory = 0.2
 )
 
-// NewShare returns an empty share.
+// NewTokenLease returns a lease without tokens.
 func NewShare() *Share { return &Share{} }
 
-// Spend uses a token at hand and reports whether there was one.
+// Spend uses one token and reports whether there was one.
 func (share *Share) Spend(now time.Time) bool {
 	elapsed := math.Max(0.001, now.Sub(share.usedAt).Seconds())
 	share.usedAt = now
@@ -78,19 +79,19 @@
 	return true
 }
 
-// Want is how many tokens to ask the ledger for.
+// RequestSize returns how many tokens to request from the issuer.
 func (share *Share) Want() int {
 	return max(1, int(share.used*leaseSeconds))
 }
 
-// Fill adds tokens from the ledger.
+// Refill adds tokens from the issuer.
 func (share *Share) Fill(now time.Time, tokens int) {
 	share.tokens += tokens
 	share.expires = now.Add(leaseLife)
 }
 
-// SpendFallback is used while the ledger does not answer: the node then grants
-// its even part of the rate, so that all nodes together stay within it.
+// SpendFallback replaces Spend while the issuer does not answer. It grants the node's even
+// share of the rate, so that all nodes together stay within the rate.
 func (share *Share) SpendFallback(now time.Time, limit Rate, nodes int) bool {
 	part := rate.Limit(limit.PerSecond / float64(max(1, nodes)))
 	if share.fallback == nil {
