--- a/internal/lease/keeper.go
+++ b/internal/lease/elector.go
@@ -14,93 +14,95 @@
 
 const (
 	callTimeout = 500 * time.Millisecond
-	// renewals a life are sent while they are answered, and urgentRenewals from the first
-	// one on that is not: that gives a holder several tries before its lease lapses,
-	// also while many answers are lost. They do not wait for each other.
+	// renewalsPerTTL is the number of renewals per TTL while they are answered, and
+	// urgentRenewalsPerTTL that from the first unanswered one on: the leader then has several
+	// attempts before its lease expires, even if many responses are lost. Renewals do not wait
+	// for each other.
 	renewals       = 5
 	urgentRenewals = 10
-	// marginPart of the life is kept free at its end, for an order on its way.
+	// The leader stops acting TTL/marginDivisor before its lease can expire, to allow for
+	// calls in flight.
 	marginPart = 5
 	tick       = 50 * time.Millisecond
-	// idleTick is the time between two looks at whether this node may hold the duty, while
-	// it may not: that changes only with the fleet.
+	// eligibilityInterval is the interval at which an ineligible node checks whether it has
+	// become eligible, which changes only with the fleet.
 	idleTick = 500 * time.Millisecond
-	// retryPause follows a failed try to take the duty over.
+	// retryPause follows a failed attempt to become leader.
 	retryPause = 300 * time.Millisecond
-	// headStart is how long others wait for the machine that held the duty last.
+	// lastLeaderHeadStart is how long other nodes wait for the last leader to campaign first.
 	headStart = 300 * time.Millisecond
 )
 
-// callPatience is how long the tries of one call wait for an answer.
+// attemptTimeouts holds the timeout of each attempt of a call.
 var callPatience = []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, callTimeout}
 
-// Duty is what the holder does.
+// Task is the work that only the leader does.
 type Duty interface {
-	// Wanted reports whether there is work.
+	// HasWork reports whether there is work to do.
 	Wanted() bool
-	// Step decides on the next piece of work. It is called at every tick while the
-	// tenure may act. The state is published before act is called.
+	// Step decides on the next piece of work. It is called every stepInterval while the
+	// leader may act. The state is published before act is called.
 	Step() (state []byte, act func(ctx context.Context, tenure *Tenure))
-	// Resting reports whether a published state says that nothing is under way.
+	// Idle reports whether a published state says that no work is in progress.
 	Resting(state []byte) bool
-	// Own reports whether this node published a state, in this life or one before.
+	// OwnState reports whether this node published a state, also before a restart.
 	Own(state []byte) bool
-	// Lost says that the tenure is over.
+	// LeadershipLost is called when the leadership has ended.
 	Lost()
 }
 
-// Recorder hears of changes of the tenure. Its methods must not block.
+// Recorder is notified of changes of the leadership. Its methods must not block.
 type Recorder interface {
 	Acquired(fence int64, settled time.Duration)
 	Released(fence int64, reason string)
 }
 
-// Keeper takes the duty over when there is work and nobody else holds it.
+// Elector makes this node the leader when there is work and no other leader.
 type Keeper struct {
 	Store    coordination.Store
 	Duty     Duty
 	Recorder Recorder
-	// Name is this node's; Key names the duty, and KeyState its published state.
+	// Name is this node's. Key is the leader's key, and StateKey that of its published state.
 	Name     string
 	Key      string
 	KeyState string
-	// Life of the lease, and the time between the orders of two holders.
+	// TTL is that of the lease, and HandoverDelay the minimum time between the actions of two
+	// leaders.
 	Life     time.Duration
 	Settling time.Duration
-	// Delay returns a random wait that spreads the tries of a whole fleet.
+	// CampaignDelay returns a random wait that spreads the attempts of a whole fleet.
 	Delay func() time.Duration
-	// Eligible reports whether this node is among those that may hold the duty: they
-	// see all that it concerns.
+	// Eligible reports whether this node may become leader. Eligible nodes see all that the
+	// task concerns.
 	Eligible func() bool
-	// Exists reports whether a key was there when this node looked last.
+	// Exists reports whether the last observation of the store showed a key.
 	Exists func(key string) bool
-	// FirstSeen returns when this node first saw a key where it was written, or zero.
+	// FirstSeen returns when this node first observed a key at a position, or zero.
 	FirstSeen func(key string, position coordination.Position) time.Time
-	// Eras follows the era of the store.
+	// Eras tracks the era of the store.
 	Eras *coordination.Eras
 
-	// heldInto is the era into which the store went back while this node held the duty, and
-	// heldSettled when that tenure could begin to act.
+	// lastLeaderEra is the era that a restore of the store began while this node was leader,
+	// and lastActFrom when that leadership could begin to act.
 	heldInto    int64
 	heldSettled time.Time
 }
 
-// holding is a tenure with its lease.
+// leaderState is a leadership with its lease.
 type holding struct {
 	tenure *Tenure
 	lease  coordination.Lease
-	// key is where the duty's key was written.
+	// keyPosition is where the leader's key was written.
 	key coordination.Position
-	// renewed is when the last renewal was asked for, and answered the last one that was
-	// answered.
+	// renewalSentAt is when the last renewal was sent, and renewalConfirmedAt when the last
+	// successful one was.
 	renewed  time.Time
 	answered time.Time
-	// state is what was published last.
+	// publishedState is the state that was published last.
 	state []byte
 }
 
-// Run holds the duty when it should, until the context ends, and then gives it
-// back.
+// Run campaigns and leads until the context ends, and then resigns.
 func (keeper *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !keeper.Eligible() {
@@ -127,8 +129,9 @@
 	}
 }
 
-// persist runs a call of the store that may be repeated, until it is answered. An
-// answer that is lost costs only a short wait, and one that is slow is waited for.
+// retryCall runs an idempotent call of the store until it succeeds. The first attempts have
+// short timeouts, so that a lost response costs little, and the last one allows for a slow
+// response.
 func persist(ctx context.Context, call func(context.Context) error) error {
 	var err error
 	for _, patience := range callPatience {
@@ -151,8 +154,8 @@
 	return entry, found, err
 }
 
-// acquire tries to create the duty's key, and reports whether another node
-// holds it.
+// acquire tries to become leader by creating the leader's key, and reports whether another
+// node has it.
 func (keeper *Keeper) acquire(ctx context.Context) (held *holding, taken bool) {
 	if _, found, err := keeper.read(ctx, keeper.Key); err != nil || found {
 		return nil, found
@@ -182,7 +185,7 @@
 	if found && keeper.Duty.Resting(state.Value) {
 		last = keeper.FirstSeen(keeper.KeyState, state.Position())
 	}
-	// One machine is one holder, whatever became of its process.
+	// A restarted process of the same node counts as the same leader.
 	another := found && !keeper.Duty.Own(state.Value)
 	settled := keeper.settleEra(SettledAt(another, last, boottime.Now(), keeper.Settling), key)
 	keeper.Recorder.Acquired(key.Token(), boottime.Until(settled))
@@ -196,17 +199,17 @@
 	}, false
 }
 
-// settleEra returns when a new holder may begin, by when it could if the store had lost nothing.
-// After the store has gone back, its copy does not show a holder that came later than it: that
-// one may act until it hears of the era, maybe later than this node, or its lease ends. Who held
-// the duty last itself need not wait for that.
+// delayAfterRestore returns when a new leader may begin, given when it could if the store had
+// lost nothing. A restored backup does not show a leader that was elected after it was made.
+// That leader may act until it learns of the new era, possibly later than this node, or until
+// its lease ends. A node that was that leader itself need not wait for this.
 func (keeper *Keeper) settleEra(settled time.Time, key coordination.Position) time.Time {
 	_, since := keeper.Eras.State()
 	switch {
 	case since.IsZero():
 		return settled
 	case keeper.heldInto == key.Era && keeper.heldSettled.After(settled):
-		// It had not begun: the one before it still has to be waited for.
+		// This node had not begun to act: it still has to wait for the leader before it.
 		return keeper.heldSettled
 	case keeper.heldInto == key.Era:
 		return settled
@@ -217,8 +220,8 @@
 	return settled
 }
 
-// create writes the duty's key if nobody has. An answer that was lost is settled
-// by reading the key: its value is unique to this try.
+// createKey creates the leader's key if it does not exist. If the response was lost, reading
+// the key shows whether it was created: its value is unique to this attempt.
 func (keeper *Keeper) create(ctx context.Context, lease int64) (at coordination.Position, created bool, err error) {
 	value := []byte(keeper.Name + " " + uuid.NewString())
 	err = persist(ctx, func(ctx context.Context) error {
@@ -232,8 +235,8 @@
 	return entry.Position(), found && bytes.Equal(entry.Value, value), err
 }
 
-// makeWay lets the machine that held the duty last come first: it alone need not
-// wait. It reports whether the state could be read.
+// yieldToLastLeader gives the last leader a head start, as it alone need not wait for the
+// handover delay. It reports whether the state could be read.
 func (keeper *Keeper) makeWay(ctx context.Context) bool {
 	state, found, err := keeper.read(ctx, keeper.KeyState)
 	if err != nil {
@@ -245,15 +248,15 @@
 	return true
 }
 
-// renewal is the answer to one renewal.
+// renewalResult is the result of one renewal.
 type renewal struct {
 	asked time.Time
 	alive bool
 	err   error
 }
 
-// hold works until the tenure ends, and returns why. A lease that may have lapsed
-// is not given up: it is not acted on until a renewal shows that it never did.
+// lead performs the task until the leadership ends, and returns the reason. A lease that may
+// have expired is not given up: the leader does not act until a renewal shows that it has not.
 func (keeper *Keeper) hold(ctx context.Context, held *holding) string {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -263,7 +266,7 @@
 		case <-ticker.C:
 		case answer := <-renewed:
 			if answer.err == nil && !answer.alive {
-				return "the lease ended"
+				return "the lease no longer exists"
 			}
 			if answer.err == nil {
 				held.tenure.Renewed(answer.asked)
@@ -271,12 +274,12 @@
 			}
 		case <-ctx.Done():
 			keeper.handBack(held)
-			return "this node stops"
+			return "this node is shutting down"
 		}
 		if era, _ := keeper.Eras.State(); era != held.key.Era {
-			// Its key and its lease are gone, or somebody else's.
+			// In the new era the key and the lease are gone, or belong to another node.
 			keeper.heldInto, keeper.heldSettled = era, held.tenure.settled
-			return "the store has gone back"
+			return "the store was restored from a backup"
 		}
 		if held.tenure.Superseded() {
 			keeper.handBack(held)
@@ -308,8 +311,8 @@
 	return renewal{asked: asked, alive: alive, err: err}
 }
 
-// work lets the duty act. What it is about to do is published before: should
-// this node die, the next holder knows that it must wait.
+// step performs one step of the task. The state is published before acting: if this node
+// fails, the next leader knows that it must wait.
 func (keeper *Keeper) work(ctx context.Context, held *holding) {
 	state, act := keeper.Duty.Step()
 	if !bytes.Equal(state, held.state) {
@@ -321,8 +324,8 @@
 	act(ctx, held.tenure)
 }
 
-// publish writes the state of the duty, which only its holder can. A refusal says
-// that the duty's key is not this holder's any more.
+// publishState writes the task's state, guarded by the leader's key. A rejected write shows
+// that the key is no longer this leader's.
 func (keeper *Keeper) publish(ctx context.Context, held *holding, state []byte) bool {
 	written := false
 	err := persist(ctx, func(ctx context.Context) (err error) {
@@ -335,8 +338,7 @@
 	return err == nil && written
 }
 
-// handBack ends the lease at a planned stop, so that the next holder need not
-// wait for it to lapse.
+// resign revokes the lease, so that the next leader need not wait for it to expire.
 func (keeper *Keeper) handBack(held *holding) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -24,18 +24,18 @@
 	settling = 3 * time.Second
 )
 
-// act is one order of a holder.
+// action is one action of a leader.
 type act struct {
 	node  string
 	fence int64
 	at    time.Time
 }
 
-// duty always has work until it is told otherwise, and notes its orders.
+// task has work until hasWork is cleared, and records its actions.
 type duty struct {
 	node   string
 	wanted atomic.Bool
-	// refused is a fencing token for which servers refuse orders.
+	// rejectedToken is a fencing token that servers reject.
 	refused atomic.Int64
 	fleet   *fleet
 }
@@ -64,7 +64,7 @@
 func (silent) Acquired(int64, time.Duration) {}
 func (silent) Released(int64, string)        {}
 
-// fleet runs keepers over one store in virtual time.
+// fleet runs electors on one store in virtual time.
 type fleet struct {
 	store *storestub.Store
 	mutex sync.Mutex
@@ -77,14 +77,14 @@
 	fleet.acts = append(fleet.acts, act)
 }
 
-// last returns the latest order.
+// last returns the latest action.
 func (fleet *fleet) last() act {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	return fleet.acts[len(fleet.acts)-1]
 }
 
-// telling is a store whose answers tell its era.
+// eraObservingStore is a store whose responses update an era tracker.
 type telling struct {
 	*storestub.Store
 	eras *coordination.Eras
@@ -115,16 +115,16 @@
 	return s.Store.Read(ctx, key)
 }
 
-// start runs a keeper until its context ends.
+// start runs an elector until its context ends.
 func (fleet *fleet) start(ctx context.Context, name string, seen map[int64]time.Time) *duty {
 	return fleet.startWith(ctx, name, seen, func(s coordination.Store) coordination.Store { return s })
 }
 
-// startWith runs a keeper with another way to the store.
+// startWithStore runs an elector with a wrapped store.
 func (fleet *fleet) startWith(ctx context.Context, name string, seen map[int64]time.Time, way func(coordination.Store) coordination.Store) *duty {
 	duty := &duty{node: name, fleet: fleet}
 	duty.wanted.Store(true)
-	// As a node that runs does, it knows the era.
+	// A running node already knows the era.
 	eras := &coordination.Eras{}
 	eras.Observe(fleet.store.Era())
 	keeper := &Keeper{
@@ -139,8 +139,8 @@
 	return duty
 }
 
-// check holds the orders against the promise: fences only grow, and two holders
-// are never closer than the settling time.
+// checkActions checks the guarantees: fencing tokens only grow, and the actions of two leaders
+// are at least the handover delay apart.
 func (fleet *fleet) check(t require.TestingT) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -148,7 +148,7 @@
 		before, after := fleet.acts[index-1], fleet.acts[index]
 		require.GreaterOrEqual(t, after.fence, before.fence)
 		if before.node != after.node {
-			require.Greater(t, after.fence, before.fence, "no two holders have one token")
+			require.Greater(t, after.fence, before.fence, "no two leaders have the same token")
 			require.GreaterOrEqual(t, after.at.Sub(before.at), settling)
 		}
 	}
@@ -164,12 +164,12 @@
 		synctest.Test(test, func(*testing.T) { fleet.play(harm, deaths) })
 		fleet.check(t)
 		require.NotEmpty(t, fleet.acts)
-		require.Equal(t, "survivor", fleet.last().node, "the duty is taken over")
+		require.Equal(t, "survivor", fleet.last().node, "the survivor becomes leader")
 	})
 }
 
-// play lets three nodes die one by one beside one that survives. The store's
-// first calls fail as harm says.
+// runWithFaults stops three nodes one by one beside one that survives. The store's first
+// calls fail according to faults.
 func (fleet *fleet) play(harm []storestub.Fault, deaths []int) {
 	calls := 0
 	fleet.store = storestub.New(time.Now, func(string) storestub.Fault {
@@ -190,17 +190,17 @@
 	time.Sleep(40 * time.Second)
 }
 
-// The store comes back from copies that are some seconds old, while holders die, and in moments
-// in which it has a holder, none, or another one. Tokens still grow, no two holders have one,
-// nobody orders within the settling time of another, and somebody orders again in time.
+// The store is restored from backups that are some seconds old, while leaders fail, and at
+// times at which the backup has the same leader, none or another one. Tokens still grow and are
+// unique, actions of two leaders stay the handover delay apart, and a leader acts again in time.
 func TestHoldersOutliveAStoreThatGoesBack(test *testing.T) {
 	property.Check(test, func(t *rapid.T) {
 		deaths := rapid.SliceOfN(rapid.IntRange(500, 30_000), 2, 2).Draw(t, "deaths")
-		// Each time: the copy's age, and the time until then.
+		// For each restore: the time until it, and the age of the backup.
 		times := rapid.SliceOfN(rapid.IntRange(200, 8000), 1, 6).Draw(t, "times")
 		ages := rapid.SliceOfN(rapid.IntRange(0, 5000), len(times), len(times)).Draw(t, "ages")
 		fleet := &fleet{}
-		// quiet is the last time at which the store went back or a holder died.
+		// lastFaultAt is the time of the last restore or node failure.
 		quiet := time.Time{}
 		synctest.Test(test, func(*testing.T) {
 			fleet.store = storestub.New(time.Now, nil)
@@ -229,7 +229,7 @@
 		fleet.check(t)
 		require.Equal(t, "survivor", fleet.last().node)
 		first := slices.IndexFunc(fleet.acts, func(a act) bool { return a.at.After(quiet) })
-		// The copy's lease has to lapse, the next holder to settle.
+		// The lease in the backup has to expire, and the next leader to wait.
 		require.Less(t, fleet.acts[first].at.Sub(quiet), 2*life+settling+time.Second)
 	})
 }
@@ -255,13 +255,13 @@
 		fleet.start(ctx, "b", seen)
 		time.Sleep(time.Second)
 		fleet.check(t)
-		require.Less(t, fleet.last().at.Sub(handed), 2*time.Second, "no need to wait")
+		require.Less(t, fleet.last().at.Sub(handed), 2*time.Second, "no handover delay is needed")
 		require.Equal(t, "b", fleet.last().node)
 	})
 }
 
-// A machine that is suspended for as long as its lease lives does not order on waking: its
-// steady clock says that no time has passed, and another holder may be at work.
+// A machine that was suspended for the TTL of its lease must not act on resuming: its monotonic
+// clock did not advance meanwhile, and another leader may be active.
 func TestAHolderThatWasSuspendedOrdersNothingUntilItsLeaseIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine, restore := suspension.Begin()
@@ -287,7 +287,7 @@
 		require.False(t, fleet.last().at.After(woken))
 		refuses.Store(false)
 		time.Sleep(time.Second)
-		require.True(t, fleet.last().at.After(woken), "the lease never lapsed")
+		require.True(t, fleet.last().at.After(woken), "the lease never expired")
 	})
 }
 
@@ -345,10 +345,10 @@
 		fleet.start(ctx, "b", nil)
 		lost.Store(true)
 		time.Sleep(2 * life)
-		require.True(t, fleet.last().at.Before(time.Now().Add(-life/2)), "it does not act on what it cannot know")
+		require.True(t, fleet.last().at.Before(time.Now().Add(-life/2)), "it does not act without a confirmed lease")
 		lost.Store(false)
 		time.Sleep(time.Second)
-		require.Equal(t, "a", fleet.last().node, "its lease never ended")
+		require.Equal(t, "a", fleet.last().node, "its lease never expired")
 		require.True(t, fleet.last().at.After(time.Now().Add(-life/2)))
 		fleet.check(t)
 	})
@@ -370,11 +370,11 @@
 		for _, act := range fleet.acts {
 			require.False(t, act.fence == fenced && act.at.After(refusedAt), "%s", act.at.Sub(refusedAt))
 		}
-		require.Greater(t, fleet.last().fence, fenced, "it takes the duty over anew")
+		require.Greater(t, fleet.last().fence, fenced, "it becomes leader again with a new token")
 	})
 }
 
-// unheard is a store that answers nobody from a time on.
+// blockingRenewStore is a store whose renewals get no response while blocked is set.
 type unheard struct {
 	coordination.Store
 	deaf *atomic.Bool
@@ -388,11 +388,10 @@
 	return s.Store.Renew(ctx, id)
 }
 
-// Seen: two holders ordered 2.96 s apart where 3 s are promised, in one of many runs of the
-// property above, on a machine that was busy. How: the store went back; another node heard of it
-// 50 ms before the holder did, which ordered once more meanwhile. Cause: the new holder counted
-// the settling time from when itself had heard of it. Proof: here the holder hears nothing at all
-// any more, and orders until its lease is over.
+// Guards against a new leader that acted 2.96 s after the previous one, where the handover delay
+// is 3 s: it had learned of a restore of the store 50 ms before the previous leader, which acted
+// once more, and counted the delay from its own observation. Here the previous leader gets no
+// response to its renewals any more, and acts until its lease ends.
 func TestAHolderThatHasNotHeardThatTheStoreWentBackIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
@@ -412,10 +411,10 @@
 	})
 }
 
-// Seen: two holders ordered 2.86 s apart where 3 s are promised (the property above, seed 2). How:
-// the store went back again while a new holder still waited for the one before. It took the duty
-// anew, as one that had held it itself. Cause: to hold the duty was taken for having settled. Proof:
-// here the second holder takes the duty, the store goes back twice, and nothing else happens.
+// Guards against a new leader that acted 2.86 s after the previous one, where the handover delay
+// is 3 s: the store was restored again while the new leader still waited for the previous one.
+// It became leader anew and, having been the last leader, skipped the rest of the wait. Here the
+// second leader is elected and the store is restored twice, without further faults.
 func TestAHolderThatHadNotBegunWaitsOnAfterTheStoreWentBackAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
@@ -428,7 +427,7 @@
 		fleet.start(ctx, "survivor", nil)
 		fleet.store.GoBack(copied)
 		kill()
-		// The next copy has the lease of the one that waits.
+		// The next backup holds the waiting leader's lease.
 		time.Sleep(100 * time.Millisecond)
 		fleet.store.GoBack(fleet.store.Copy())
 		time.Sleep(3*life + 2*settling)
