--- a/internal/fleet/era_test.go
+++ b/internal/fleet/era_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/storestub"
 )
 
-// writes counts what is written in each second.
+// writeCounter counts the writes in each second.
 type writes struct {
 	*storestub.Store
 	mutex *sync.Mutex
@@ -29,9 +29,9 @@
 	return w.Store.Write(ctx, key, value, lease)
 }
 
-// The store loses the registrations of all nodes at once. Each is written again within its
-// lease, not all in one second, also where the copy still has a key under a lease that nobody
-// renews; and meanwhile nobody is taken for lost.
+// A restore of the store loses the registrations of all nodes at once. Each node registers again
+// within the registration TTL, spread over time, even if the backup still has its key under a
+// lease that no node renews. Meanwhile no node counts as lost.
 func TestAFleetRegistersAgainAfterTheStoreWentBack(t *testing.T) {
 	for _, nodes := range []int{7, 985} {
 		synctest.Test(t, func(t *testing.T) {
@@ -64,26 +64,26 @@
 			}
 			for went := time.Now(); time.Since(went) < registrationLife-time.Second; time.Sleep(100 * time.Millisecond) {
 				reader.ObserveNodes(store.Entries("nodes/"), time.Now())
-				require.Equal(t, nodes, reader.Nodes(), "nobody is taken for lost")
+				require.Equal(t, nodes, reader.Nodes(), "no node counts as lost")
 			}
-			require.Len(t, store.Entries("nodes/"), nodes, "each is registered again within its lease")
+			require.Len(t, store.Entries("nodes/"), nodes, "each node is registered again within the TTL")
 			most := 0
 			for _, n := range counted.each {
 				most = max(most, n)
 			}
-			require.LessOrEqual(t, most, 3+2*nodes/int((registrationLife/renewals).Seconds()), "they do not come in one second")
+			require.LessOrEqual(t, most, 3+2*nodes/int((registrationLife/renewals).Seconds()), "registrations are spread over time")
 			time.Sleep(2 * registrationLife)
-			require.Len(t, store.Entries("nodes/"), nodes, "and stays so")
-			// Another one: a node counts itself whatever the store says.
+			require.Len(t, store.Entries("nodes/"), nodes, "the registrations are kept")
+			// Take another node than the reader, which counts itself in any case.
 			others := slices.DeleteFunc(store.Entries("nodes/"), func(e coordination.Entry) bool { return e.Key == reader.key() })
 			require.Len(t, others, nodes-1)
 			reader.ObserveNodes(others[1:], time.Now())
-			require.Equal(t, nodes-1, reader.Nodes(), "who is lost later is")
+			require.Equal(t, nodes-1, reader.Nodes(), "a node that is lost later is not counted")
 		})
 	}
 }
 
-// The view for nodes that start is written again, though it has not changed.
+// After a restore of the store the view is published again, even if it has not changed.
 func TestTheViewIsPublishedAgainAfterTheStoreWentBack(t *testing.T) {
 	eras, published := &coordination.Eras{}, 0
 	eras.Observe(1)
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -9,7 +9,7 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// rank orders the nodes that are known, alike on all that see the same fleet.
+// updateRanking ranks the known nodes. All nodes that see the same fleet agree on the ranks.
 func (r *Registry) rank(places map[string]place) {
 	r.places = places
 	largest := 0.0
@@ -32,14 +32,14 @@
 	}
 }
 
-// ranking is what decides on a node's rank.
+// rankKey determines a node's rank.
 type ranking struct {
 	name  string
 	hash  prefix.Hash
 	roomy bool
 }
 
-// compare orders nodes alike on all: those with room first, and then by hash.
+// compare orders large nodes first, and then by hash.
 func (r ranking) compare(other ranking) int {
 	if r.roomy != other.roomy {
 		if r.roomy {
@@ -50,10 +50,9 @@
 	return cmp.Or(cmp.Compare(r.hash, other.hash), strings.Compare(r.name, other.name))
 }
 
-// Relays returns how many of the first nodes relay to the others what they know.
-// Relays ask each other, and each is followed by its part of the rest: the sum is
-// least at the square root of the fleet. Nodes with room relay alone if they are
-// half as many.
+// Relays returns the number of relays, which are the first nodes by rank. Relays poll each
+// other, and each is polled by its part of the rest: the total is least at the square root of
+// the fleet's size. If large nodes are at least half as many, they are the only relays.
 func (r *Registry) Relays() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -69,19 +68,18 @@
 	return wanted
 }
 
-// Relaying reports whether this node is a relay.
+// IsRelay reports whether this node is a relay.
 func (r *Registry) Relaying() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.ownRank < r.relays()
 }
 
-// Reading reports whether this node is one of the few relays that read the store for
-// the fleet.
+// IsReader reports whether this node is one of the relays that read the store for the fleet.
 func (r *Registry) Reading() bool { return r.Rank() < Readers }
 
-// RelayAddresses returns where the relays are reached, those of this node's zone before
-// others. Each node begins with another one of them.
+// RelayAddresses returns the addresses of the relays, those of this node's zone first. Each node
+// starts at another offset in each group, which spreads the load.
 func (r *Registry) RelayAddresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -95,14 +93,14 @@
 	}
 	turn := r.ownRank
 	if turn >= len(r.names) {
-		// Its rank is not known, and another one's may be the same.
+		// The exact rank is not known, and other nodes would use the same one.
 		turn = int(uint32(prefix.KeyOf(r.Name)))
 	}
 	return append(rotate(near, turn), rotate(far, turn)...)
 }
 
-// ReaderAddresses returns where the readers are reached, in the same order on all nodes:
-// whoever follows the first one hears of a change in the fewest steps.
+// ReaderAddresses returns the addresses of the readers, in the same order on all nodes: a node
+// that polls the first one receives changes over the fewest hops.
 func (r *Registry) ReaderAddresses() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -113,19 +111,18 @@
 	return addresses
 }
 
-// first returns the names of the first nodes.
+// firstNodes returns the names of the first nodes by rank, up to a limit.
 func (r *Registry) first(most int) []string { return r.names[:min(most, len(r.names))] }
 
-// Ownership says which of the relays does what one must do for a thing in a zone. Nodes
-// that see the same fleet agree.
+// Ownership assigns each key to one of the relays. Nodes that see the same fleet agree on it.
 type Ownership struct {
 	self string
-	// relays are all relays, and near those of each zone.
+	// relays holds the names of all relays, and byZone those in each zone.
 	relays []string
 	near   map[string][]string
 }
 
-// Ownership returns who does what at the last observation.
+// Ownership returns the assignment at the last observation.
 func (r *Registry) Ownership() Ownership {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -137,8 +134,8 @@
 	return o
 }
 
-// Owns reports whether this node is the one for a thing in a zone: one of that zone if it
-// has any relay.
+// Owns reports whether this node owns a key of a zone. The owner is in that zone if the zone has
+// a relay.
 func (o Ownership) Owns(thing, zone string) bool {
 	candidates := o.near[zone]
 	if len(candidates) == 0 {
@@ -147,10 +144,10 @@
 	return prefix.Owner(prefix.KeyOf(thing), candidates) == o.self
 }
 
-// Owns is that of the present Ownership.
+// Owns reports whether this node owns a key of a zone at the last observation.
 func (r *Registry) Owns(thing, zone string) bool { return r.Ownership().Owns(thing, zone) }
 
-// rotate moves the first elements of a list behind the others.
+// rotate returns a list rotated left by an offset.
 func rotate(list []string, by int) []string {
 	if len(list) == 0 {
 		return list
@@ -159,8 +156,7 @@
 	return append(slices.Clone(list[by:]), list[:by]...)
 }
 
-// Rank returns this node's place among all, from 0. Nodes that see the same fleet
-// have different ranks.
+// Rank returns this node's rank, from 0. Nodes that see the same fleet have different ranks.
 func (r *Registry) Rank() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -14,20 +14,20 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// place is where a node is reached, and the processor time that it has, in cores.
+// nodeInfo is what a node registers: its address, its zone and its processor time in cores.
 type place struct {
 	address string
 	zone    string
 	room    float64
 }
 
-// String is the place as it is registered.
+// String returns the registered form.
 func (p place) String() string {
 	return strings.Join([]string{p.address, p.zone, strconv.FormatFloat(p.room, 'g', -1, 64)}, " ")
 }
 
-// parsePlace reads a registered place. What is missing in it stays empty: a node whose
-// room cannot be read is one without room.
+// parseNodeInfo parses the registered form. Missing fields stay empty: a node whose processor
+// time cannot be parsed does not count as large.
 func parsePlace(text string) place {
 	p := place{}
 	address, rest, _ := strings.Cut(text, " ")
@@ -39,8 +39,8 @@
 	return p
 }
 
-// Run keeps this node's key alive, writes it anew if it was lost, and takes it
-// back when the context ends.
+// Run keeps this node registered, registers it again if the registration is lost, and
+// deregisters it when the context ends.
 func (r *Registry) Run(ctx context.Context) {
 	lease := int64(0)
 	for ctx.Err() == nil {
@@ -51,9 +51,9 @@
 	r.leave(lease)
 }
 
-// rest waits until the registration is to be renewed. After the store has gone back it is to
-// be written again, by all nodes in the same moment: they spread that over the time between two
-// renewals, so that 1,000 nodes write 170 times a second.
+// awaitRenewal waits until the registration must be renewed. After a restore of the store all
+// nodes must register again at the same time: they spread this over a renewal interval, so that
+// 1,000 nodes make 170 writes a second.
 func (r *Registry) rest(ctx context.Context) {
 	changed := r.Eras.Next()
 	if era, _ := r.Eras.State(); era == r.registered || r.registered == 0 {
@@ -79,11 +79,12 @@
 	_ = r.Store.End(ctx, lease)
 }
 
-// renew returns the lease that keeps the node's key, or 0 if there is none.
+// renew renews the registration or registers the node again, and returns the lease of the
+// registration, or 0 if there is none.
 func (r *Registry) renew(ctx context.Context, lease int64) int64 {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A lease of another era is gone, or somebody else's.
+	// A lease of another era is gone, or belongs to another client.
 	if era, _ := r.Eras.State(); lease != 0 && era == r.registered {
 		alive, err := r.Store.Renew(ctx, lease)
 		if err != nil || alive {
@@ -95,7 +96,7 @@
 		return 0
 	}
 	era, _ := r.Eras.State()
-	// The key may be there, under a lease of the store's copy that nobody renews.
+	// The key may exist already, under a lease from the restored backup that no node renews.
 	if written, err := r.Store.Write(ctx, r.key(), []byte(r.place().String()), granted.ID); err != nil || !written {
 		return 0
 	}
@@ -103,9 +104,9 @@
 	return granted.ID
 }
 
-// withLost adds to the observed entries those of nodes that were there when the store went back
-// and have not had the time to register again. Were they taken for lost, those that have would
-// take their parts of what the fleet may do.
+// withUnregistered adds to the observed entries those of nodes that were registered before a
+// restore of the store and may not have registered again yet. If they were taken for lost, the
+// registered nodes would claim their shares of fleet-wide budgets.
 func (r *Registry) withLost(entries []coordination.Entry, now time.Time) []coordination.Entry {
 	_, since := r.Eras.State()
 	if since.IsZero() || now.Sub(since) > registrationLife {
@@ -124,17 +125,17 @@
 	return entries
 }
 
-// place is this node's own.
+// ownInfo returns this node's own info.
 func (r *Registry) place() place { return place{address: r.Address, zone: r.Zone, room: r.Room} }
 
-// nameOf returns the name of the node that a key registers.
+// nodeName returns the name of the node that a key registers.
 func (r *Registry) nameOf(key string) string {
 	name, _ := r.parseKey(key)
 	return name
 }
 
-// parseKey returns the name of the node that a key registers, and that of its life. What
-// comes before them in the key only gives it its place among all.
+// parseKey returns the name and the incarnation of the node that a key registers. The part of
+// the key before them only determines the key order.
 func (r *Registry) parseKey(key string) (name, life string) {
 	parts := strings.Split(strings.TrimPrefix(key, r.Prefix), "/")
 	if len(parts) < 2 {
@@ -143,12 +144,13 @@
 	return parts[len(parts)-2], parts[len(parts)-1]
 }
 
-// mostRoom is the processor time, in thousandths of a core, above which nodes are alike in
-// the order of keys.
+// maxMilliCores is the processor time, in thousandths of a core, above which nodes sort alike
+// in key order.
 const mostRoom = 999_999
 
-// key registers this node. In the order of keys those with the most room come first, and
-// among equals a hash decides: the first page of a long list shows who the relays are.
+// registrationKey returns this node's registration key. In key order, nodes with more processor
+// time come first, and equal ones are ordered by a hash, so that the first page of a long list
+// contains the relays.
 func (r *Registry) key() string {
 	room := min(mostRoom, int(1000*r.Room))
 	return fmt.Sprintf("%s%06d-%016x/%s/%s", r.Prefix, mostRoom-room, uint64(prefix.KeyOf(r.Name)), r.Name, r.Life)
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -1,5 +1,6 @@
-// Package fleet tells a node how many others there are. Each node keeps a key
-// under a lease in the shared store; nobody needs to know all others exactly.
+// Package fleet registers a node in the shared store, under a key with a lease, and derives the
+// size of the fleet and the roles of its first nodes from the registrations. Only the first
+// nodes need to be known by name.
 package fleet
 
 import (
@@ -12,95 +13,95 @@
 )
 
 const (
-	// registrationLife is how long a node that died is still counted. Whoever asks it
-	// meanwhile goes on to the next one within a second; the count is for shares of a
-	// budget, which are smaller for it. Half of it would cost as much again in renewals,
-	// 0.005 of what the requests of 985 nodes are worth.
+	// registrationTTL is how long a failed node is still counted. Nodes that poll it go on to
+	// another one within a second, and until then the shares of fleet-wide budgets are a
+	// little smaller. Half this TTL would double the cost of renewals, by 0.005 of the value
+	// of the requests of 985 nodes.
 	registrationLife = 18 * time.Second
-	// renewals a life gives a node several tries before it is forgotten.
+	// renewalsPerTTL gives a node several attempts before its registration expires.
 	renewals    = 3
 	callTimeout = time.Second
-	// gathering is how long nodes wait for each other at the first start, and
-	// longestGathering how long a node waits that cannot register.
+	// bootstrapWait is how long nodes wait for each other when a fleet starts for the first
+	// time, and maxBootstrapWait how long a node waits that cannot register.
 	gathering        = 500 * time.Millisecond
 	longestGathering = 2 * time.Second
-	// Readers is how many nodes read the store for the whole fleet: one, one for when
-	// it is lost, and one more for a store that refuses some machines at that time.
+	// ReaderCount is the number of nodes that read the store for the whole fleet: one, a
+	// standby, and another one in case the store refuses some machines at that time.
 	Readers = 3
-	// fewestRelays is the size up to which all nodes of a fleet ask each other: fewer
-	// hops make what they know younger, and 90 questions each 150 ms cost little.
+	// minRelays is the fleet size up to which all nodes poll each other: fewer hops keep the
+	// replicas fresher, and 90 polls per 150 ms cost little.
 	fewestRelays = 10
-	// viewRelays is how many times as many nodes as there are relays are told of: who comes
-	// next when relays are lost.
+	// viewRelayFactor is the number of nodes in the view per relay: the view also contains
+	// the nodes that follow when relays are lost.
 	viewRelays = 2
-	// roomyShare is the share of the largest node's processor time from which a node
-	// counts as one with room.
+	// largeNodeShare is the share of the largest node's processor time from which a node
+	// counts as large.
 	roomyShare = 0.5
 )
 
-// Registry registers this node and counts the others.
+// Registry registers this node and tracks the other nodes.
 type Registry struct {
 	Store coordination.Store
-	// Prefix is that of the nodes' keys.
+	// Prefix is the prefix of the registration keys.
 	Prefix string
 	Name   string
-	// Life names this life of the node's process.
+	// Incarnation identifies this process of the node.
 	Life string
-	// Address is where other nodes reach this one, and Zone where it stands.
+	// Address is where other nodes reach this one, and Zone its availability zone.
 	Address string
 	Zone    string
-	// Room is this node's processor time in cores; 0 says that it is not known.
+	// Cores is this node's processor time in cores, or 0 if it is not known.
 	Room float64
-	// Resized hears of the number of nodes after each observation.
+	// OnResize is called with the number of nodes after each observation.
 	Resized func(nodes int)
-	// Eras follows the era of the store.
+	// Eras tracks the era of the store.
 	Eras *coordination.Eras
-	// Publish, if set, writes the view of the fleet where nodes that start find it.
+	// PublishView, if set, writes the view of the fleet to where starting nodes read it.
 	Publish func(ctx context.Context, view []byte) error
 
 	mutex sync.Mutex
-	// names holds the nodes that are known, those with room first and each kind in the
-	// order of a hash, which spreads the first ones over the zones; places holds where they
-	// are reached. They are all nodes, or the first ones alone.
+	// ranked holds the names of the known nodes in rank order: the large ones first, and each
+	// kind ordered by a hash, which spreads the first ranks over the zones. infos holds what
+	// is registered for them. Both contain all nodes or only the first ones.
 	names  []string
 	places map[string]place
-	// nodes is how many nodes there are, or 0 if that is not known, and roomy how many of
-	// them have room. ownRank is this node's place among all.
+	// reportedNodes is the number of nodes, or 0 if it is not known, and large the number of
+	// large ones. ownRank is this node's rank.
 	nodes   int
 	roomy   int
 	ownRank int
-	// begun is when the fleet was first observed; settled, that the places in it
-	// may be relied on.
+	// firstObservedAt is when the fleet was first observed. bootstrapped reports that ranks
+	// are reliable.
 	begun   time.Time
 	settled bool
 	seen    map[string]sighting
-	// entries holds those of all nodes as they were observed last, and registered the era in
-	// which this node's own was written.
+	// lastEntries holds the registrations at the last observation, by name, and registeredEra
+	// the era in which this node's own one was written.
 	entries    map[string]coordination.Entry
 	registered int64
 	duties     []coordination.Entry
-	// view is what other nodes are told of the fleet, and digest is its own.
+	// view is the view of the fleet that other nodes receive, and digest the view's digest.
 	view   View
 	digest uint64
-	// published is the digest of the view that this node has written last, and publishedIn the
-	// era of the store in which that was.
+	// publishedDigest is the digest of the view that this node published last, and
+	// publishedEra the era of the store in which it did so.
 	published   uint64
 	publishedIn int64
 }
 
-// sighting is when a key was first seen where it was written.
+// keySighting is when a key was first observed at its position.
 type sighting struct {
 	position coordination.Position
 	at       time.Time
 }
 
-// ObserveNodes takes the entries of all nodes as they were read at a time.
+// ObserveNodes applies the registrations of all nodes, as they were read at a time.
 func (r *Registry) ObserveNodes(entries []coordination.Entry, now time.Time) {
 	r.observe(entries, now, false)
 }
 
-// ObserveOldNodes takes the entries of all nodes as they may have been seconds before. They
-// settle the place of a node that has started again, and of no other.
+// ObserveStaleNodes applies the registrations of all nodes as they may have been seconds
+// earlier. They complete the bootstrap of a restarted node only.
 func (r *Registry) ObserveOldNodes(entries []coordination.Entry, now time.Time) {
 	r.observe(entries, now, true)
 }
@@ -115,7 +116,7 @@
 		name := r.nameOf(entry.Key)
 		places[name], byName[name] = parsePlace(string(entry.Value)), entry
 	}
-	// An entry of an earlier life of this node may tell of another place.
+	// A registration by an earlier incarnation of this node may have another address.
 	places[r.Name] = r.place()
 	r.mutex.Lock()
 	if r.begun.IsZero() {
@@ -130,7 +131,7 @@
 	r.look(byName)
 	r.entries = byName
 	if old {
-		// Others are not told what may be old.
+		// Stale data is not passed on to other nodes.
 		r.view, r.digest = View{}, 0
 	}
 	nodes := r.nodes
@@ -138,8 +139,7 @@
 	r.Resized(nodes)
 }
 
-// rankOf returns a node's place among all; who is not among the known first ones comes
-// after them.
+// rankOf returns a node's rank. A node that is not among the known first ones ranks after them.
 func (r *Registry) rankOf(name string) int {
 	if at := slices.Index(r.names, name); at >= 0 {
 		return at
@@ -147,7 +147,7 @@
 	return max(len(r.names), r.nodes-1)
 }
 
-// ObserveDuties notes the keys under which nodes hold duties.
+// ObserveDuties applies the leader-election entries.
 func (r *Registry) ObserveDuties(entries []coordination.Entry, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -162,7 +162,7 @@
 	r.seen, r.duties = seen, entries
 }
 
-// Duties returns the entries of the last observation of duties, for ObserveDuties on
+// Duties returns the leader-election entries of the last observation, for ObserveDuties on
 // another node.
 func (r *Registry) Duties() []coordination.Entry {
 	r.mutex.Lock()
@@ -170,9 +170,9 @@
 	return r.duties
 }
 
-// settle decides whether the places in the fleet may be relied on. When all nodes
-// start for the first time, the first ones see only few: they wait for the rest.
-// A node that finds itself registered in a life before need not.
+// updateBootstrapped decides whether ranks are reliable. When all nodes start for the first
+// time, the first ones see only a few registrations and wait for the rest. A node that finds a
+// registration by its earlier incarnation need not wait.
 func (r *Registry) settle(entries []coordination.Entry, now time.Time) {
 	if r.settled {
 		return
@@ -182,7 +182,8 @@
 	r.settled = own && (r.fromBefore(entries) || waited >= gathering) || waited >= longestGathering
 }
 
-// fromBefore reports whether an entry of this node is not of this life.
+// hasEarlierIncarnation reports whether the entries contain a registration by an earlier
+// incarnation of this node.
 func (r *Registry) fromBefore(entries []coordination.Entry) bool {
 	return slices.ContainsFunc(entries, func(entry coordination.Entry) bool {
 		name, life := r.parseKey(entry.Key)
@@ -190,14 +191,14 @@
 	})
 }
 
-// Settled reports whether the places in the fleet may be relied on.
+// Bootstrapped reports whether ranks are reliable.
 func (r *Registry) Settled() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.settled
 }
 
-// Exists reports whether the last observation showed a key.
+// Exists reports whether the last observation contained a leader-election key.
 func (r *Registry) Exists(key string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -205,8 +206,8 @@
 	return found
 }
 
-// Nodes returns the number of nodes at the last observation, at least as many as are known
-// by name.
+// Nodes returns the number of nodes at the last observation, which is at least the number of
+// nodes known by name.
 func (r *Registry) Nodes() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -215,15 +216,15 @@
 
 func (r *Registry) size() int { return max(1, len(r.names), r.nodes) }
 
-// Outer reports whether this node knows relays to ask, and is none of those that may come
-// to relay.
+// OutsideView reports whether this node ranks after all nodes of the view: it has relays to
+// poll, and won't become one soon.
 func (r *Registry) Outer() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.ownRank >= viewRelays*r.relays()
 }
 
-// FirstSeen returns when a key was first seen where it was written, or zero.
+// FirstSeen returns when a key was first observed at a position, or zero.
 func (r *Registry) FirstSeen(key string, position coordination.Position) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -43,13 +43,13 @@
 		time.Sleep(3 * registrationLife)
 		down.Store(false)
 		time.Sleep(registrationLife)
-		require.Equal(t, 3, count(), "registered anew after an outage that outlasted the leases")
+		require.Equal(t, 3, count(), "registered again after an outage longer than the TTL")
 		kill()
 		time.Sleep(registrationLife)
 		require.Equal(t, 2, count())
 		stop()
 		synctest.Wait()
-		require.Empty(t, store.Entries("f/nodes/"), "a planned stop takes the registration back")
+		require.Empty(t, store.Entries("f/nodes/"), "a planned shutdown deregisters the node")
 		require.Equal(t, 1, count(), "a node counts itself")
 	})
 }
@@ -62,7 +62,7 @@
 	registry.ObserveDuties([]coordination.Entry{entry}, begin.Add(time.Second))
 	require.Equal(t, begin, registry.FirstSeen("f/state", entry.Position()))
 	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Revision: 5}))
-	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Era: 1, Revision: 4}), "the revision was given out again")
+	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Era: 1, Revision: 4}), "the restored store has used the revision again")
 	require.True(t, registry.Exists("f/state"))
 	registry.ObserveDuties(nil, begin)
 	require.False(t, registry.Exists("f/state"))
@@ -82,11 +82,11 @@
 	require.True(t, first.Settled())
 	again := newNode()
 	again.ObserveNodes([]coordination.Entry{other, {Key: "f/nodes/b/1"}}, begin)
-	require.True(t, again.Settled(), "the fleet is there already")
+	require.True(t, again.Settled(), "the fleet is already running")
 	alone := newNode()
 	alone.ObserveNodes(nil, begin)
 	alone.ObserveNodes(nil, begin.Add(longestGathering))
-	require.True(t, alone.Settled(), "it cannot register, and must serve all the same")
+	require.True(t, alone.Settled(), "a node that cannot register must serve all the same")
 }
 
 func TestTheFirstNodesAreTheSameForAllAndNearOnesComeFirst(t *testing.T) {
@@ -108,15 +108,15 @@
 		ranks[registry.Rank()] = true
 		addresses := registry.RelayAddresses()
 		require.Len(t, addresses, fewestRelays)
-		require.Contains(t, addresses[0], "-"+zone+"-", "every zone has one of the first")
+		require.Contains(t, addresses[0], "-"+zone+"-", "every zone has a relay")
 		begins[addresses[0]] = true
 		for _, address := range addresses {
 			first[address] = true
 		}
 	}
-	require.Greater(t, len(begins), 3, "nodes of one zone begin with different ones")
-	require.Len(t, ranks, 30, "every node has its own rank")
-	require.Len(t, first, fewestRelays, "all agree on the first")
+	require.Greater(t, len(begins), 3, "nodes of one zone prefer different relays")
+	require.Len(t, ranks, 30, "ranks are unique")
+	require.Len(t, first, fewestRelays, "all nodes agree on the relays")
 }
 
 func TestOneNodeOwnsAThingAndItStandsInItsZoneIfAnyDoes(t *testing.T) {
@@ -144,7 +144,7 @@
 			owners[found[0]] = true
 		}
 	}
-	require.Greater(t, len(owners), 6, "things are spread over the first nodes")
+	require.Greater(t, len(owners), 6, "keys are spread over the relays")
 }
 
 func TestNodesWithRoomRelayIfThereAreEnough(t *testing.T) {
@@ -189,13 +189,13 @@
 func TestAPlaceIsReadAsItWasRegistered(t *testing.T) {
 	own := place{address: "10.0.0.1:7340", zone: "a", room: 0.192}
 	require.Equal(t, own, parsePlace(own.String()))
-	require.Equal(t, place{address: "10.0.0.1:7340", zone: "a"}, parsePlace("10.0.0.1:7340 a"), "an earlier version told no room")
+	require.Equal(t, place{address: "10.0.0.1:7340", zone: "a"}, parsePlace("10.0.0.1:7340 a"), "an earlier version registered no cores")
 	require.Equal(t, place{}, parsePlace(""))
 	require.Equal(t, place{address: "x", zone: "a"}, parsePlace("x a much"))
 }
 
-// The time in which a fleet gathers counts from the first reading, even if that was old, and
-// an old one settles only who started again.
+// The bootstrap wait counts from the first read, even a stale one. A stale read completes the
+// bootstrap of a restarted node only.
 func TestAnOldReadingBeginsTheGathering(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	node := newMember("b", "z", 0.2)
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -13,21 +13,21 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// View is what nodes tell each other of the fleet. Only its first nodes are asked by others,
-// so that nobody needs to know all.
+// View is the description of the fleet that nodes send each other. Only the first nodes by rank
+// are polled by others, so that no node needs the full list.
 type View struct {
-	// Nodes is how many nodes there are, and Roomy how many of them have room.
+	// Nodes is the number of nodes, and Roomy the number of large ones.
 	Nodes int
 	Roomy int
-	// First holds the entries of the first nodes, in the order of their ranks.
+	// First holds the registrations of the first nodes, in rank order.
 	First []coordination.Entry
 }
 
-// whole reports whether the view holds all nodes.
+// complete reports whether the view contains all nodes.
 func (v View) whole() bool { return v.Nodes > 0 && len(v.First) >= v.Nodes }
 
-// look makes the view of all nodes that others are told. A node that is not registered
-// itself is not in it.
+// updateView builds the view that other nodes receive from a full list. A node that is not
+// registered is not in it.
 func (r *Registry) look(entries map[string]coordination.Entry) {
 	r.view = View{Nodes: len(entries), Roomy: r.roomy}
 	for _, name := range r.first(viewRelays * r.relays()) {
@@ -38,9 +38,9 @@
 	r.digest = r.view.digest()
 }
 
-// publish writes the view of the fleet for nodes that start, if this is the first node and
-// the view has changed, or the store may have lost it. What cannot be written is tried again
-// with the next renewal.
+// publishIfChanged publishes the view for starting nodes, if this is the node of rank 0 and the
+// view has changed or a restored store may have lost it. A failed write is retried with the
+// next renewal.
 func (r *Registry) publish(ctx context.Context) {
 	era, _ := r.Eras.State()
 	r.mutex.Lock()
@@ -55,7 +55,7 @@
 	defer cancel()
 	encoded := bytes.Buffer{}
 	if gob.NewEncoder(&encoded).Encode(view) != nil || r.Publish(ctx, encoded.Bytes()) != nil {
-		// Publish tells of its failure, and a view can be encoded.
+		// PublishView reports its own failure, and encoding a view does not fail.
 		return
 	}
 	r.mutex.Lock()
@@ -63,13 +63,13 @@
 	r.mutex.Unlock()
 }
 
-// ObservePublished takes a view that a first node has published at some time. A node that
-// finds itself among its relays relies on that; all others find whom to ask. A view that
-// cannot be read changes nothing.
+// ObservePublishedView applies a view that the node of rank 0 published at some time. A node
+// that finds itself among its relays relies on its rank; all others learn which nodes to poll. A
+// view that cannot be decoded is ignored.
 func (r *Registry) ObservePublished(encoded []byte, now time.Time) error {
 	var view View
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&view); err != nil {
-		return errors.Annotate(err, "the view of the fleet cannot be read; run the same version on all nodes")
+		return errors.Annotate(err, "cannot decode the published view of the fleet; run the same version on all nodes")
 	}
 	if view.Nodes <= 0 || len(view.First) == 0 {
 		return nil
@@ -87,10 +87,9 @@
 	return nil
 }
 
-// ObserveFirst takes the first entries of a list of nodes that goes on. They stand in the
-// order of their keys, in which those with the most room come first. They do not show how
-// many nodes there are; a node that finds itself among the first relays of so many can rely
-// on that.
+// ObserveFirstPage applies the first page of the list of registrations. It is in key order, in
+// which nodes with more processor time come first. It does not show the number of nodes; a node
+// that finds itself among the relays of a fleet of the page's size can rely on being a relay.
 func (r *Registry) ObserveFirst(entries []coordination.Entry, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -99,7 +98,7 @@
 		places[r.nameOf(entry.Key)] = parsePlace(string(entry.Value))
 	}
 	if !r.settled {
-		// What it saw before was a part of the fleet, too.
+		// Earlier observations were partial too.
 		r.nodes, r.view, r.digest = 0, View{}, 0
 	}
 	r.rank(places)
@@ -110,8 +109,9 @@
 	r.settled = r.settled || r.ownRank < r.relays() || now.Sub(r.begun) >= longestGathering
 }
 
-// ObserveView takes what another node told of the fleet: a view, or nil if it is the one
-// that this node has, and how many nodes there are. It reports whether that node knew.
+// ObserveView applies what another node sent: a view, or nil if this node has the same one, and
+// the number of nodes, or 0 if the other node does not know it. It reports whether that node
+// knew.
 func (r *Registry) ObserveView(view *View, nodes int) bool {
 	switch {
 	case nodes == 0:
@@ -126,7 +126,7 @@
 	return true
 }
 
-// count takes how many nodes there are, if others know more of them than this node.
+// updateNodeCount applies the number of nodes, unless this node knows all nodes by name.
 func (r *Registry) count(nodes int) {
 	r.mutex.Lock()
 	changed := !r.view.whole() && r.nodes != nodes
@@ -139,7 +139,7 @@
 	}
 }
 
-// adopt takes another node's view of a fleet that is larger than it.
+// replaceView adopts another node's view, which does not contain the whole fleet.
 func (r *Registry) adopt(view View) {
 	r.mutex.Lock()
 	r.follow(view)
@@ -149,7 +149,7 @@
 	r.Resized(view.Nodes)
 }
 
-// follow takes the ranks and the places of a view.
+// applyView takes over the ranks and infos of a view.
 func (r *Registry) follow(view View) {
 	names := make([]string, 0, len(view.First))
 	places := make(map[string]place, len(view.First))
@@ -162,7 +162,7 @@
 	r.ownRank = r.rankOf(r.Name)
 }
 
-// digest returns a number that tells two views apart.
+// digest returns a hash of the view.
 func (v View) digest() uint64 {
 	digest := uint64(len(v.First)) + uint64(v.Roomy)<<32
 	for _, entry := range v.First {
@@ -171,15 +171,15 @@
 	return digest
 }
 
-// Digest tells the view that this node has apart from others.
+// ViewDigest returns the digest of this node's view.
 func (r *Registry) Digest() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.digest
 }
 
-// NewerThan returns this node's view if its digest is another one, for ObserveView on
-// another node, and how many nodes there are. It returns 0 if this node does not know.
+// ViewIfChanged returns this node's view if it has another digest than the given one, and the
+// number of nodes, or 0 if this node does not know it, for ObserveView on another node.
 func (r *Registry) NewerThan(digest uint64) (view *View, nodes int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -15,13 +15,13 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// newMember returns the registry of one node of a drawn fleet.
+// newTestRegistry returns the registry of one node.
 func newMember(name, zone string, cores float64) *Registry {
 	return &Registry{Prefix: "f/nodes/", Name: name, Life: "1", Zone: zone, Address: "at-" + name, Room: cores, Resized: func(int) {}}
 }
 
-// drawFleet returns nodes of one or two sizes in three zones, and their entries in the order
-// of their keys.
+// drawFleet returns nodes of one or two sizes in three zones, and their registrations in key
+// order.
 func drawFleet(t *rapid.T) (nodes []*Registry, entries []coordination.Entry) {
 	for i := range rapid.IntRange(1, 300).Draw(t, "nodes") {
 		cores := 0.2
@@ -36,8 +36,8 @@
 	return nodes, entries
 }
 
-// A node that knows the first nodes alone has the same part in the fleet as if it knew all,
-// and asks the same ones.
+// A node that knows only the view has the same role, and polls the same nodes, as if it knew all
+// nodes.
 func TestTheViewOfTheFirstNodesIsEnough(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		nodes, entries := drawFleet(t)
@@ -48,7 +48,7 @@
 		node := rapid.SampledFrom(nodes).Draw(t, "node")
 		all := newMember(node.Name, node.Zone, node.Room)
 		all.ObserveNodes(entries, time.Unix(1000, 0))
-		require.False(t, node.ObserveView(nil, 0), "who asks a node that knows nothing hears nothing")
+		require.False(t, node.ObserveView(nil, 0), "a node without a view sends nothing")
 		require.True(t, node.ObserveView(view, count))
 		require.Equal(t, all.Nodes(), node.Nodes())
 		require.Equal(t, all.Relays(), node.Relays())
@@ -61,15 +61,15 @@
 			require.Equal(t, all.Ownership(), node.Ownership())
 		}
 		passed, _ := node.NewerThan(0)
-		require.Equal(t, view.First, passed.First, "it is passed on as it was heard")
+		require.Equal(t, view.First, passed.First, "the view is forwarded unchanged")
 		same, count := reader.NewerThan(node.Digest())
-		require.Nil(t, same, "nothing is told twice")
+		require.Nil(t, same, "the same view is not sent again")
 		require.Equal(t, len(entries), count)
 	})
 }
 
-// The first page of a long list shows a starting node the relays, and the first readers that
-// they are such; all others wait to be told.
+// The first page of a long list shows a starting node the relays, and the readers their own role.
+// All other nodes wait until they receive the view.
 func TestTheFirstPageShowsTheRelays(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		nodes, entries := drawFleet(t)
@@ -81,10 +81,10 @@
 		for _, node := range nodes {
 			all := newMember(node.Name, node.Zone, node.Room)
 			all.ObserveNodes(entries, begin)
-			// The first one of a start finds nobody yet.
+			// At the start of a fleet, the first node finds no registrations yet.
 			node.ObserveOldNodes(nil, begin)
 			told, count := node.NewerThan(1)
-			require.Nil(t, told, "what may be old is not told")
+			require.Nil(t, told, "stale data is not passed on")
 			require.Zero(t, count)
 			node.ObserveFirst(page, begin)
 			require.Equal(t, node.Rank() >= viewRelays*node.Relays(), node.Outer())
@@ -99,8 +99,8 @@
 	})
 }
 
-// What nodes tell each other of the fleet grows with its root: at 1,000 and at 2,000 nodes
-// some 10 kB, where all entries were 100 kB and more to each node at each change.
+// The size of the view grows with the square root of the fleet: some 10 kB at 1,000 and at 2,000
+// nodes. Sending all registrations would take 100 kB and more for each node at each change.
 func TestTheViewGrowsWithTheRootOfTheFleet(t *testing.T) {
 	size := func(count int) int {
 		var entries []coordination.Entry
@@ -137,9 +137,8 @@
 	}
 }
 
-// What the first node publishes shows a node that starts whom to ask, and a relay that it is
-// one; it is written once for as long as it stays the same. What cannot be read changes
-// nothing.
+// The published view shows a starting node which nodes to poll, and a relay its own role. It is
+// published once for as long as it does not change. A view that cannot be decoded is ignored.
 func TestAPublishedViewShowsANodeItsPlace(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		nodes, entries := drawFleet(t)
@@ -153,7 +152,7 @@
 			}
 			reader.ObserveNodes(entries, begin)
 			reader.publish(t.Context())
-			require.Empty(t, published, "its place may change while the fleet gathers")
+			require.Empty(t, published, "ranks may change during the bootstrap")
 			reader.ObserveNodes(entries, begin.Add(gathering))
 			reader.publish(t.Context())
 			reader.publish(t.Context())
@@ -175,7 +174,7 @@
 			require.Equal(t, all.Rank(), node.Rank())
 		}
 		view, count := node.NewerThan(0)
-		require.Nil(t, view, "it tells others nothing that may be old")
+		require.Nil(t, view, "stale data is not passed on")
 		require.Zero(t, count)
 	})
 }
