--- a/internal/coordination/position.go
+++ b/internal/coordination/position.go
@@ -9,26 +9,26 @@
 	"github.com/cloverrail/cloverrail/internal/boottime"
 )
 
-// Position is a place in the history of the shared store: an era, and a revision in it. The
-// store may come back from an older copy; then its era rises by one and its revisions go back,
-// so that a revision alone says nothing of what was before.
+// Position is a point in the history of the shared store: an era and a revision within it. When
+// the store is restored from a backup, its era increases by one and its revisions go back, so
+// that revisions can only be compared within one era.
 type Position struct {
 	Era      int64
 	Revision int64
 }
 
-// IsZero reports whether the position is that of somebody who knows nothing.
+// IsZero reports whether the position is unset.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// Compare orders positions as the store went through them.
+// Compare orders positions as the store reached them.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Revision, other.Revision))
 }
 
-// Before reports whether the position is an earlier one than another.
+// Before reports whether the position is before another one.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// Later returns the later one of two positions.
+// Later returns the later of two positions.
 func (p Position) Later(other Position) Position {
 	if p.Before(other) {
 		return other
@@ -37,35 +37,35 @@
 }
 
 const (
-	// firstEra is that of a store that has never gone back. Stores that do not name their era
-	// count as one that has not.
+	// initialEra is the era of a store that was never restored. A store that sends no era
+	// counts as such.
 	firstEra = 1
-	// revisionBits is how many bits of a token hold the revision: 10 years of 3,200 writes a
-	// second. The rest holds 8,192 eras, so that a token is exact also as a number of a JSON
-	// reader that knows floating point alone.
+	// revisionBits is the number of bits of a token that hold the revision, enough for 10
+	// years of 3,200 writes a second. Above them there is room for 8,192 eras: tokens stay
+	// below 2^53, and so exact in JSON parsers that represent numbers as floating point.
 	revisionBits = 40
 )
 
-// Token returns the fencing token of a position. It rises over eras too, and in a store that
-// has never gone back it is the revision alone: servers that have seen tokens of builds that
-// know no eras take it, and take those builds' tokens after it.
+// Token returns the fencing token of a position. It increases across eras too. In a store that
+// was never restored it is the revision itself, so that servers accept tokens of builds with and
+// without eras in any sequence.
 func (p Position) Token() int64 { return (max(p.Era, firstEra)-firstEra)<<revisionBits + p.Revision }
 
-// Eras follows the era of the shared store, by its own answers and by the word of other nodes.
-// The zero value and nil know of none. It is safe for concurrent use.
+// EraTracker tracks the era of the shared store, from the store's responses and from other
+// nodes. Its zero value and nil know no era. It is safe for concurrent use.
 type Eras struct {
-	// Changed, if set, hears of each change, and Ignored of what was told of the era and is
-	// passed over. They must not block.
+	// OnChange, if set, is called for each change of the era, and OnIgnored for values that
+	// are ignored, with the current era. They must not block.
 	Changed func(before, after int64)
 	Ignored func(told string, current int64)
 
 	mutex   sync.Mutex
 	current int64
-	// ignored is what was passed over last, since an answer counted; nil if nothing was.
+	// lastIgnored is the value that was last ignored since a response was accepted, or nil.
 	ignored *string
-	// next is closed at the next change.
+	// nextChange is closed at the next change.
 	next chan struct{}
-	// since is when the store was first known to have gone back to the era.
+	// restoredAt is when this node learned that a restore of the store began the era.
 	since time.Time
 }
 
@@ -75,8 +75,8 @@
 	return era
 }
 
-// State returns the era, and since when this node knows that the store has gone back to it;
-// zero if it has not since this node knows it.
+// State returns the era, and when this node learned that a restore of the store began it. That
+// time is zero if there was no restore since this node first learned an era.
 func (e *Eras) State() (era int64, since time.Time) {
 	if e == nil {
 		return 0, time.Time{}
@@ -86,7 +86,7 @@
 	return e.current, e.since
 }
 
-// Next returns a channel that is closed when the store has gone back the next time.
+// NextChange returns a channel that is closed when the era changes.
 func (e *Eras) Next() <-chan struct{} {
 	if e == nil {
 		return nil
@@ -99,8 +99,8 @@
 	return e.next
 }
 
-// Ignore takes what an answer tells of its era if that is none. A store that never named one
-// need not, and one that goes on to tell the same is named once.
+// Ignore reports a value that is not a valid or current era. Repetitions of the same value are
+// reported once. A missing era is not reported for a store that never sent one.
 func (e *Eras) Ignore(told string) {
 	e.mutex.Lock()
 	current, news := e.current, e.ignored == nil || *e.ignored != told
@@ -111,8 +111,8 @@
 	}
 }
 
-// Observe takes the era of an answer, and reports whether the answer counts: one of an earlier
-// era tells what is not so any more. The first era that is seen is no change.
+// Observe applies the era of a response, and reports whether the response is acceptable: one
+// from an earlier era is outdated. The first observed era does not count as a change.
 func (e *Eras) Observe(era int64) (counts bool) {
 	if e == nil {
 		return true
--- a/internal/coordination/position_test.go
+++ b/internal/coordination/position_test.go
@@ -9,8 +9,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// Tokens order positions as the store went through them, and those of a store that has never
-// gone back are the revisions that former builds use.
+// Tokens order positions as the store reached them. Those of a store that was never restored are
+// the revisions that builds without eras use.
 func TestTokensOrderPositions(t *testing.T) {
 	draw := func(t *rapid.T, name string) Position {
 		return Position{Era: rapid.Int64Range(1, 8191).Draw(t, name+" era"), Revision: rapid.Int64Range(1, 1<<revisionBits-1).Draw(t, name)}
@@ -20,8 +20,8 @@
 		require.Equal(t, one.Before(other), one.Token() < other.Token())
 		require.Equal(t, one == other, one.Token() == other.Token())
 		require.Equal(t, one.Revision, Position{Era: firstEra, Revision: one.Revision}.Token())
-		require.Equal(t, one.Revision, Position{Revision: one.Revision}.Token(), "a store that names no era")
-		require.Less(t, one.Token(), int64(1)<<53, "exact as a floating point number")
+		require.Equal(t, one.Revision, Position{Revision: one.Revision}.Token(), "a store that sends no era")
+		require.Less(t, one.Token(), int64(1)<<53, "exact as a float64")
 		require.Equal(t, one.Later(other), other.Later(one))
 	})
 }
@@ -34,7 +34,7 @@
 		Ignored: func(told string, _ int64) { ignored = append(ignored, told) },
 	}
 	eras.Ignore("")
-	require.True(t, eras.Observe(4), "the first is no change")
+	require.True(t, eras.Observe(4), "the first era is not a change")
 	_, since := eras.State()
 	require.True(t, since.IsZero())
 	next := eras.Next()
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -1,5 +1,5 @@
-// Package coordination says what nodes need of the key-value store that they
-// share: conditional writes, leases, and reads that are current.
+// Package coordination defines the interface of the shared key-value store: conditional writes,
+// leases and linearizable reads.
 package coordination
 
 import (
@@ -11,38 +11,38 @@
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is that of the last change, and Era the one in which it was read. Revisions of
-	// the whole store only grow within one.
+	// Revision is that of the last change, and Era the era in which the entry was read. The
+	// store's revisions only grow within an era.
 	Revision int64
 	Era      int64
 }
 
-// Position is where the entry was written, as of the era in which it was read.
+// Position returns where the entry was written, in the era in which it was read.
 func (e Entry) Position() Position { return Position{Era: e.Era, Revision: e.Revision} }
 
-// Lease is a promise of the store to keep keys for a time.
+// Lease bounds the lifetime of the keys that are attached to it.
 type Lease struct {
 	ID int64
-	// Life is how long the lease lasts from the arrival of the call that granted or
-	// renewed it.
+	// TTL counts from the arrival of the call that granted or renewed the lease.
 	Life time.Duration
 }
 
-// Store is the shared key-value store. An error of a write leaves open whether
-// it was done, unless it is a failure.Failure with the outcome NotRun.
+// Store is the shared key-value store. After an error of a write it is unknown whether the write
+// took effect, unless the error is a failure.Failure with the outcome NotRun.
 type Store interface {
-	// Grant opens a lease.
+	// Grant creates a lease.
 	Grant(ctx context.Context, life time.Duration) (Lease, error)
-	// Renew keeps a lease and reports whether it still lives.
+	// Renew renews a lease and reports whether it still existed.
 	Renew(ctx context.Context, lease int64) (bool, error)
-	// End gives a lease back; its keys go with it.
+	// Revoke ends a lease and deletes its keys.
 	End(ctx context.Context, lease int64) error
-	// Create writes a key that does not exist and reports whether it did, and where.
+	// Create writes a key if it does not exist, and returns whether and at which position it
+	// did so.
 	Create(ctx context.Context, key string, value []byte, lease int64) (at Position, created bool, err error)
-	// Write writes a key, whatever it holds, and reports whether the lease still lives.
+	// Write writes a key unconditionally, and reports whether the lease still existed.
 	Write(ctx context.Context, key string, value []byte, lease int64) (written bool, err error)
-	// WriteGuarded writes a key if the guard is still where it was written, in the same era.
+	// WriteGuarded writes a key if the guard key is still at the given position.
 	WriteGuarded(ctx context.Context, key string, value []byte, guard string, at Position) (written bool, err error)
-	// Read returns the current entry of a key.
+	// Read returns the current entry of a key, and whether it exists.
 	Read(ctx context.Context, key string) (Entry, bool, error)
 }
