--- a/internal/workshare/aggregator.go
+++ b/internal/workshare/aggregator.go
@@ -1,10 +1,10 @@
-// Package workshare merges what the nodes of a fleet tell each other of their
-// work at servers and of their use of tenants' limits, so that each knows the whole
-// load, which servers fail, and what is left of a limit.
+// Package workshare aggregates the reports of a fleet's nodes on their work at servers and their
+// usage of tenants' limits, so that each node knows the total load, which servers fail, and what
+// is left of each limit.
 //
-// A few nodes, the relays, are asked by all others. Whoever asks a relay tells
-// it of its own work and hears of everybody else's; relays ask each other for
-// the work of their groups, which are the nodes that ask them.
+// A few nodes, the relays, are polled by all others. A follower sends a relay its own report
+// and receives the total of all other nodes. Relays poll each other for the reports of their
+// groups, which consist of the relay and its followers.
 package workshare
 
 import (
@@ -19,19 +19,20 @@
 )
 
 const (
-	// reportLife is how long a node's word counts if it is not renewed.
+	// reportTTL is how long a report counts unless it is replaced.
 	reportLife = time.Second
-	// mostTold bounds the servers in one answer. Those with the most work go first.
+	// maxReportedServers bounds the servers in a report. Suspected servers come first, then
+	// those with the most work.
 	mostTold = 256
 )
 
-// Report is what a number of nodes have under way and use.
+// Report is the work in progress and the quota usage of one or more nodes.
 type Report struct {
 	Work  []backend.Work
 	Quota quota.Report
 }
 
-// Board holds what nodes told of themselves. It is safe for concurrent use.
+// Aggregator holds the reports of other nodes. It is safe for concurrent use.
 type Board struct {
 	own func() Report
 
@@ -40,13 +41,13 @@
 	groups    map[string]told
 }
 
-// told is a report as it was heard at a time.
+// timedReport is a report with the time of its arrival.
 type told struct {
 	Report
 	at time.Time
 }
 
-// New returns an empty board of a node whose own report the function returns.
+// New returns an empty aggregator. The function returns this node's own report.
 func New(own func() Report) *Board {
 	return &Board{own: own, followers: map[string]told{}, groups: map[string]told{}}
 }
@@ -54,21 +55,21 @@
 // Own returns this node's own report.
 func (b *Board) Own() Report { return b.own() }
 
-// TakeFollower takes the report of a node that asked this one.
+// SetFollower sets the report of a follower.
 func (b *Board) TakeFollower(node string, report Report, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.followers[node] = told{Report: report, at: now}
 }
 
-// TakeGroup takes the report of another relay's group.
+// SetGroup sets the report of another relay's group.
 func (b *Board) TakeGroup(relay string, report Report, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.groups[relay] = told{Report: report, at: now}
 }
 
-// Group returns the sum of this node's report and of those of the nodes that ask it.
+// Group returns the sum of this node's report and those of its followers.
 func (b *Board) Group(now time.Time) Report {
 	sum := newTotals()
 	sum.add(b.own())
@@ -78,8 +79,8 @@
 	return sum.report()
 }
 
-// Others returns the sum of the reports of all nodes but one, which is a follower or, if
-// the name is "", this node itself.
+// Others returns the sum of the reports of all nodes except one: a follower, or this node itself
+// if the name is "".
 func (b *Board) Others(node string, now time.Time) Report {
 	sum := newTotals()
 	if node != "" {
@@ -92,7 +93,7 @@
 	return sum.report()
 }
 
-// totals holds the sums for each server and each tenant.
+// totals holds the sums per server and per tenant.
 type totals struct {
 	nodes int
 	work  map[uint64]backend.Work
@@ -122,7 +123,7 @@
 	}
 }
 
-// addTold adds all reports but one, and forgets those that are too old.
+// addReports adds all reports except one, and removes the expired ones.
 func (t *totals) addTold(reports map[string]told, except string, now time.Time) {
 	for node, r := range reports {
 		switch {
@@ -134,7 +135,7 @@
 	}
 }
 
-// report returns the sums, those that matter most first, as many as are told.
+// report returns the most important sums, in order of importance and up to the limits.
 func (t *totals) report() Report {
 	work := slices.SortedFunc(maps.Values(t.work), func(a, b backend.Work) int {
 		return cmp.Or(-cmp.Compare(a.Suspects, b.Suspects), -cmp.Compare(a.QueuedTokens, b.QueuedTokens),
--- a/internal/workshare/aggregator_test.go
+++ b/internal/workshare/aggregator_test.go
@@ -15,7 +15,7 @@
 
 var begin = time.Unix(1000, 0)
 
-// node is a node of a fleet with its own work.
+// node is a node with its own work and quota usage.
 type node struct {
 	name  string
 	work  []backend.Work
@@ -29,7 +29,7 @@
 	return n
 }
 
-// Whatever the nodes have under way, each hears of all the others' and not of its own.
+// Whatever the nodes report, each receives the sum of all others' reports without its own.
 func TestEachNodeHearsOfAllOthers(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		readers, all := []*node{}, []*node{}
