--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -74,7 +74,9 @@
 	// are reliable.
 	begun   time.Time
 	settled bool
-	seen    map[string]sighting
+	// sightings holds the leader-election keys of the last observation, and duties their
+	// entries.
+	seen map[string]sighting
 	// lastEntries holds the registrations at the last observation, by name, and registeredEra
 	// the era in which this node's own one was written.
 	entries    map[string]coordination.Entry
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -53,7 +53,10 @@
 
 // Recorder is notified of changes of the leadership. Its methods must not block.
 type Recorder interface {
+	// Acquired is called when this node becomes leader, with its fencing token and the time
+	// until it may act.
 	Acquired(fence int64, settled time.Duration)
+	// Released is called when the leadership has ended.
 	Released(fence int64, reason string)
 }
 
@@ -296,7 +299,7 @@
 	}
 }
 
-// renewInterval is the time between two renewals.
+// renewInterval returns the time between two renewals.
 func (held *holding) renewInterval() time.Duration {
 	if held.answered.Before(held.renewed) {
 		return held.lease.Life / urgentRenewals
--- a/internal/lease/leadership.go
+++ b/internal/lease/leadership.go
@@ -14,7 +14,7 @@
 // the previous one has not acted for the handover delay. The leader counts the lease's TTL
 // from before it sent the renewal, the store from the arrival, so the leader stops first.
 type Tenure struct {
-	// Fence is the fencing token.
+	// FencingToken is sent with each action, so that servers reject those of earlier leaders.
 	Fence int64
 	// actFrom is when the leader may begin to act.
 	settled time.Time
--- a/internal/reflector/follow.go
+++ b/internal/reflector/follow.go
@@ -67,8 +67,8 @@
 	return r.hops() * (r.askPause() + transit)
 }
 
-// PropagationDelay returns the time in which an observation of any node reaches all nodes. It
-// goes upstream with the next poll, which may have to wait for the response to the previous
+// FleetPropagationDelay returns the time in which an observation of any node reaches all nodes.
+// It goes upstream with the next poll, which may have to wait for the response to the previous
 // one.
 func (r *Reflector) TellTime() time.Duration {
 	return r.hops()*(askWait+r.askPause()+transit) + r.HearTime()
@@ -229,13 +229,13 @@
 // observations of requests that crashed servers.
 type telling struct {
 	feed string
-	// received is a position in the feed's tracker, and sent one in this node's own.
+	// received is a position in the feed's ledger, and sent one in this node's own.
 	heard int64
 	told  int64
 }
 
 // attachSuspicions adds this node's new suspicions to a request, and returns the position in
-// its own tracker up to which they are included. Relays also forward those that they received,
+// its own ledger up to which they are included. Relays also forward those that they received,
 // except back to the feed that sent them.
 func (r *Reflector) tell(question *Question, told *telling, now time.Time) int64 {
 	scope := quarantine.Own
--- a/internal/reflector/reflector.go
+++ b/internal/reflector/reflector.go
@@ -29,6 +29,7 @@
 
 // Observation is the result of one read of the store.
 type Observation struct {
+	// Declared holds what operators wrote: the declaration and the released weight versions.
 	Declared catalog.Reading
 	// Whole reports that Servers is the full list. Otherwise Servers holds what has changed
 	// since the previous read, and Gone the instances that were removed since.
@@ -128,7 +129,8 @@
 	// OnReport receives the work in progress and the quota usage of all other nodes. It
 	// must not block.
 	TakeReport func(others workshare.Report, now time.Time)
-	Kept       *residency.Hearer
+	// Kept receives other nodes' updates on cached blocks.
+	Kept *residency.Hearer
 	// Quarantine tracks which requests have crashed servers.
 	Quarantine *quarantine.Ledger
 	// OnQuarantined receives the store's entries of quarantined requests. It must not block.
@@ -279,7 +281,7 @@
 	r.listedAt.store(readAt)
 }
 
-// readDeclaration reads what a follower needs when no other node delivers recent state.
+// readFollowerState reads what a follower needs when no other node delivers recent state.
 func (r *Reflector) readAlone(ctx context.Context) error {
 	declared, err := r.Source.Declared(ctx)
 	if err != nil {
--- a/internal/reflector/transport.go
+++ b/internal/reflector/transport.go
@@ -338,8 +338,8 @@
 // PeerClient polls other nodes over HTTP.
 type Caller struct {
 	Client *http.Client
-	// Heard, if set, is called with the size of each response to a call, which is named by
-	// its path. It must not block.
+	// OnResponse, if set, is called with the size of each response to a call, which is named
+	// by its path. It must not block.
 	Heard func(call string, bytes int)
 }
 
