--- a/internal/quota/moment_test.go
+++ b/internal/quota/concurrency_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a look at a server's limit that is apart from its use: of many requests that are
-// placed at one moment, as many pass as of those that come one after the other.
+// Guards against a check of a server's limit that is separate from its use: concurrent requests
+// must acquire as many permits as the same number of sequential ones.
 func TestALimitIsTakenOnceForEachRequest(t *testing.T) {
 	const burst = 200
 	moment := begin.Add(10 * time.Second)
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -8,12 +8,13 @@
 	"github.com/juju/errors"
 )
 
-// useBytes is the length of an encoded use: its tenant and two numbers of single precision.
+// usageBytes is the length of an encoded usage: its tenant and two single-precision numbers.
 const useBytes = 16
 
-var errReport = errors.New("a report of the use of limits cannot be read; run the same version on all nodes")
+var errReport = errors.New("malformed quota report; all nodes must run the same version")
 
-// Encode writes a report in few bytes: nodes tell each other several times a second.
+// Encode returns the binary form of the report. It is compact, since nodes exchange reports
+// several times a second.
 func (r Report) Encode() []byte {
 	data := binary.AppendUvarint(nil, uint64(r.Nodes))
 	for _, use := range slices.Concat(r.Uses, r.Rows) {
@@ -24,7 +25,8 @@
 	return data
 }
 
-// DecodeReport reads a report whole, or not at all. No bytes are a report of no node.
+// DecodeReport decodes a report. It returns the complete report or an error; empty data is a
+// report of no node.
 func DecodeReport(data []byte) (Report, error) {
 	if len(data) == 0 {
 		return Report{}, nil
@@ -52,5 +54,5 @@
 	return read, nil
 }
 
-// sound reports whether a number is a flow.
+// validRate reports whether a number is a valid rate.
 func sound(perSecond float64) bool { return perSecond >= 0 && !math.IsInf(perSecond, 0) }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -23,21 +23,21 @@
 
 var bounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 110_000}
 
-// admitter is a way of keeping a limit, at one node.
+// tenantLimiter is a rate limiting algorithm at one node.
 type admitter interface {
 	Admit(tenant string, limit Limit, cost float64, now time.Time) Decision
 }
 
-// simulated is a fleet in virtual time. Each node hears what the others said a while ago;
-// nodes that are cut off hear and tell nothing.
+// simFleet is a fleet in virtual time. Each node receives the reports of the others after a
+// delay; partitioned nodes neither send nor receive any.
 type simulated struct {
 	nodes []*simulatedNode
 	limit Limit
-	// delay is the age of what nodes hear.
+	// delay is the age of received reports.
 	delay  time.Duration
 	random *rand.Rand
 	now    time.Time
-	// demand is what the fleet is asked for a second, in tokens.
+	// demandRate is the demand on the fleet, in tokens per second.
 	demand  float64
 	ran     []sample
 	refused float64
@@ -52,7 +52,7 @@
 type simulatedNode struct {
 	admitter
 	limiter *Limiter
-	// weight is its part of the demand.
+	// weight is the node's fraction of the demand.
 	weight  float64
 	cut     bool
 	history []told
@@ -63,7 +63,7 @@
 	report Report
 }
 
-// newSimulated returns a fleet whose nodes get uneven parts of the demand.
+// newSimFleet returns a fleet whose nodes receive uneven fractions of the demand.
 func newSimulated(size int, limit Limit, seed uint64) *simulated {
 	s := &simulated{limit: limit, delay: 250 * time.Millisecond, random: rand.New(rand.NewPCG(seed, 1)), now: begin}
 	total := 0.0
@@ -79,14 +79,14 @@
 	return s
 }
 
-// restart forgets all that a node knows, but for the size of the fleet.
+// restart clears the state of a node, except for the size of the fleet.
 func (s *simulated) restart(n *simulatedNode) {
 	n.limiter = New(bounds, s.random.Float64, s.now)
 	n.limiter.Resize(len(s.nodes))
 	n.admitter, n.history = n.limiter, nil
 }
 
-// cost draws the size of a request: a third are large.
+// randomCost returns the cost of a request: a third are large.
 func (s *simulated) cost() float64 {
 	if s.random.IntN(3) == 0 {
 		return 9200 * (0.3 + 1.4*s.random.Float64())
@@ -96,7 +96,7 @@
 
 const meanCost = 9200.0/3 + 870*2.0/3
 
-// run plays the fleet for a time.
+// run simulates the fleet for the given time.
 func (s *simulated) run(length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(tick) {
 		for i, n := range s.nodes {
@@ -108,7 +108,7 @@
 	}
 }
 
-// ask lets callers ask a node.
+// sendRequests sends random requests to a node.
 func (s *simulated) ask(n *simulatedNode) {
 	expected := s.demand * n.weight / meanCost * tick.Seconds()
 	for ; expected > 0; expected-- {
@@ -125,7 +125,7 @@
 	}
 }
 
-// tell lets a node tell the others of itself, and hear what they said a while ago.
+// exchangeReports publishes a node's report and delivers the delayed reports of its peers to it.
 func (s *simulated) tell(n *simulatedNode) {
 	n.history = append(n.history, told{s.now, n.limiter.Report(s.now)})
 	if n.cut {
@@ -150,7 +150,7 @@
 	n.limiter.Take(sum, s.now)
 }
 
-// before returns the last report before a time, unless it is too old to count.
+// reportBefore returns the last report before a time, unless it is too old to count.
 func (n *simulatedNode) before(at time.Time) (Report, bool) {
 	for i := len(n.history) - 1; i >= 0; i-- {
 		if !n.history[i].at.After(at) {
@@ -160,7 +160,7 @@
 	return Report{}, false
 }
 
-// largest is the largest sum of what ran within a window.
+// peakInWindow returns the largest sum admitted within a window.
 func (s *simulated) largest() float64 {
 	largest, sum, first := 0.0, 0.0, 0
 	for _, r := range s.ran {
@@ -181,9 +181,9 @@
 	return Limit{PerSecond: perSecond, Burst: perSecond, Unit: Tokens, PlainTokens: 200}
 }
 
-// Whatever is asked of which node, up to 7.5 times the usual, and whichever nodes are cut
-// off or start again, up to 35 % of them, the sum of what runs stays within the bound. Past
-// that it does not always: see docs/FINDINGS.md.
+// Demand changes by up to 7.5 times the usual and partitions or restarts of up to 35 % of the
+// nodes must not push the admitted sum beyond the bound. Beyond these values it may be exceeded:
+// see docs/FINDINGS.md.
 func TestTheFleetStaysWithinALimit(t *testing.T) {
 	property.CheckMany(t, 60, func(t *rapid.T) {
 		limit := tokens(rapid.Float64Range(60_000, 600_000).Draw(t, "limit"))
@@ -210,7 +210,7 @@
 	})
 }
 
-// A fleet that starts again all at once does not know what it admitted before.
+// After a simultaneous restart of all nodes, none knows what was admitted before.
 func TestAFleetThatStartsAgainStaysWithinALimit(t *testing.T) {
 	property.CheckMany(t, 20, func(t *rapid.T) {
 		limit := tokens(rapid.Float64Range(60_000, 600_000).Draw(t, "limit"))
@@ -225,7 +225,7 @@
 	})
 }
 
-// What lies well within a limit is not refused while nodes hear each other.
+// Guards against refusing demand well within a limit while nodes receive each other's reports.
 func TestWhatLiesWithinALimitIsAdmitted(t *testing.T) {
 	property.CheckMany(t, 30, func(t *rapid.T) {
 		limit := tokens(rapid.Float64Range(60_000, 600_000).Draw(t, "limit"))
@@ -238,7 +238,7 @@
 	})
 }
 
-// A tenant that asks for far more gets what its limit gives, not less.
+// Guards against admitting less than the limit under overload.
 func TestALimitIsUsed(t *testing.T) {
 	property.CheckMany(t, 20, func(t *rapid.T) {
 		limit := tokens(rapid.Float64Range(60_000, 600_000).Draw(t, "limit"))
@@ -256,7 +256,8 @@
 	})
 }
 
-// evenShare is the simplest way: each node has an even part of the limit for itself.
+// evenSplit is the baseline algorithm: each node enforces an even fraction of the limit on its
+// own.
 type evenShare struct {
 	nodes int
 	a     *account
@@ -276,8 +277,8 @@
 	return Decision{Admitted: true}
 }
 
-// The shares that follow what nodes tell each other refuse far less within the limit than
-// even parts do, which is why they are used.
+// Within the limit, shares that follow the reported demand must refuse far less than an even
+// split does, which is the reason for using them.
 func TestSharesThatFollowTheDemandRefuseLessThanEvenParts(t *testing.T) {
 	refused := func(even bool) float64 {
 		s := newSimulated(79, tokens(118_000), 7)
@@ -291,7 +292,7 @@
 		return s.refused / s.asked
 	}
 	even, following := refused(true), refused(false)
-	t.Logf("refused within the limit: %.3f with even parts, %.3f with shares that follow the demand", even, following)
+	t.Logf("refused within the limit: %.3f with an even split, %.3f with shares that follow the demand", even, following)
 	require.Greater(t, even, 0.2)
 	require.Less(t, following, 0.02)
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -1,41 +1,41 @@
-// Package quota keeps tenants within the limits that hold over the whole fleet.
+// Package quota enforces fleet-wide rate limits: of tenants, and of servers that advertise one.
 //
-// No node asks another one before it admits a request. Nodes tell each other, many
-// times a second, how much of each limited tenant is asked of them and how much of it
-// they admit. Each follows from that how much the fleet may still admit, and admits the
-// part of what it is asked that keeps the sum at the limit. What a node has not heard of
-// late it does not count on: it shares only the part of the limit that belongs to the
-// nodes that it hears.
+// Nodes do not consult each other before they admit a request. Several times a second they
+// exchange reports on the demand and the admitted rate of each limited tenant. Each node derives
+// from them how much the fleet may still admit, and admits the fraction of its own demand that
+// keeps the total at the limit. It uses only that part of the limit that belongs to nodes with
+// recent reports.
 package quota
 
 import "time"
 
-// Unit is what a limit counts.
+// Unit is the unit of a limit.
 type Unit int
 
-// The units.
+// The units of limits.
 const (
 	// Requests counts each request as one.
 	Requests Unit = iota
-	// Tokens counts the tokens of a request, those of the prompt and those of the answer.
+	// Tokens counts the prompt and answer tokens of a request.
 	Tokens
 )
 
-// Limit is how much a tenant may ask of the whole fleet.
+// Limit is a fleet-wide rate limit of a tenant.
 type Limit struct {
-	// PerSecond is in the unit; 0 means that there is no limit. Burst may come at once.
+	// PerSecond is the rate in the limit's unit; 0 means no limit. Burst is the amount that may
+	// be admitted at once.
 	PerSecond float64
 	Burst     float64
 	Unit      Unit
-	// PlainTokens is what a request counts that does not tell its tokens.
+	// PlainTokens is the cost of a request that does not state its tokens.
 	PlainTokens float64
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether the rate is limited.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Cost is how much of the limit a request takes. Tokens are its own; told is false if it
-// does not tell them.
+// Cost returns the cost of a request in the limit's unit. The argument tokens is the number of
+// its tokens; known is false if the request does not state it.
 func (l Limit) Cost(tokens int, told bool) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -47,25 +47,25 @@
 	}
 }
 
-// Bounds are what the fleet promises: within any Window, a tenant's requests that run
-// count at most (PerSecond x Window + Burst) x (1 + Overshoot) + Slack.
+// Bounds is the guarantee given for the fleet: within any Window, the admitted requests of a
+// tenant cost at most (PerSecond x Window + Burst) x (1 + Overshoot) + Slack.
 type Bounds struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     float64
 }
 
-// lenience is the part of what the bounds allow beyond a limit that is admitted, so that
-// what lies within the limit is not refused because nodes know late of each other. The
-// rest covers what they do not know.
+// overshootFraction is the fraction of the permitted overshoot that is added to the burst, so
+// that demand within the limit is not refused because of late peer reports. The rest absorbs
+// usage not yet reported.
 const lenience = 0.25
 
-// allowed is the most that may run within a window.
+// allowed returns the largest cost that may be admitted within a window.
 func (b Bounds) allowed(l Limit) float64 {
 	return (l.PerSecond*b.Window.Seconds()+l.Burst)*(1+b.Overshoot) + b.Slack
 }
 
-// capacity is how much may be admitted at once after a rest.
+// capacity returns the amount that may be admitted at once after an idle period.
 func (b Bounds) capacity(l Limit) float64 {
 	beyond := b.allowed(l) - l.PerSecond*b.Window.Seconds() - l.Burst
 	return l.Burst + lenience*beyond
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,67 +8,67 @@
 )
 
 const (
-	// fresh is how long the word of other nodes counts whole if it is not renewed; from
-	// then on it counts for less and less of the limit, until nothing is left of it at
-	// trusted. Nodes hear each other each 150 to 400 ms.
+	// peerFreshAge is the age up to which peer reports count fully. From then on the share of
+	// the limit that they cover shrinks, and reaches zero at peerMaxAge. Nodes receive reports
+	// every 150 to 400 ms.
 	fresh   = 400 * time.Millisecond
 	trusted = time.Second
-	// shortestWait and longestWait bound the time after which a caller that was refused
-	// is told to come back.
+	// minRetryAfter and maxRetryAfter bound the retry time given to refused callers.
 	shortestWait = 250 * time.Millisecond
 	longestWait  = 5 * time.Second
-	// unknownFleet is the size that a fleet is taken to have before it is known.
+	// defaultFleetSize is the assumed size of the fleet until it is known.
 	unknownFleet = 1000
-	// mostTold bounds the tenants of which one report tells. Those that ask most go first.
+	// maxReportedTenants bounds the tenants of one report. Those with the highest demand go
+	// first.
 	mostTold = 256
-	// restForgotten is how long an account is kept that nobody uses.
+	// idleExpiry is how long an unused bucket is kept.
 	restForgotten = time.Minute
 )
 
-// Limiter decides which requests of limited tenants one node admits. It is safe for
-// concurrent use.
+// Limiter decides which requests of limited tenants this node admits. It is safe for concurrent
+// use.
 type Limiter struct {
 	bounds Bounds
-	// draw returns a random number from 0 to 1, 1 not included.
+	// draw returns a random number in [0, 1).
 	draw    func() float64
 	started time.Time
 
 	mutex    sync.Mutex
 	accounts map[uint64]*account
-	// told is what all other nodes use by their last word.
+	// peerUsage is the last reported usage of all other nodes, by tenant.
 	told map[uint64]Use
-	// nodes is the size of the fleet, and heard for how many nodes the last word stands,
-	// this one included.
+	// nodes is the size of the fleet, and reportedNodes the number of nodes that the last peer
+	// report covers, this one included.
 	nodes   int
 	heard   int
 	heardAt time.Time
 	swept   time.Time
 }
 
-// New returns the limiter of a node that has just started. Draw returns random numbers
-// from 0 to 1, 1 not included.
+// New returns a limiter for a node that has just started. The function draw returns random
+// numbers in [0, 1).
 func New(bounds Bounds, draw func() float64, now time.Time) *Limiter {
 	return &Limiter{bounds: bounds, draw: draw, started: now, accounts: map[uint64]*account{}, nodes: unknownFleet}
 }
 
-// Decision is what a limiter decided on a request, and why.
+// Decision is the outcome of an admission check, with its inputs.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when a caller that was refused should come back.
+	// RetryAfter is when a refused caller should retry.
 	RetryAfter time.Duration
-	// Share is the part of what is asked that is admitted now, from 0 to 1. Asked is in
-	// the unit a second, over all nodes that are known of; Level is how much may be
-	// admitted at once, in the unit.
+	// AdmitRatio is the fraction of the current demand that is admitted, from 0 to 1. Requested
+	// is the demand on all known nodes in the limit's unit per second; Level is the amount that
+	// may be admitted at once, in the limit's unit.
 	Share float64
 	Asked float64
 	Level float64
-	// Nodes is for how many nodes that is known, and Age how old it is; negative if
-	// nothing was heard yet.
+	// VisibleNodes is the number of nodes that these values cover, and PeersAge the age of the
+	// peer report; negative if none was received.
 	Nodes int
 	Age   time.Duration
 }
 
-// Admit decides on a request of a tenant that takes a cost of its limit.
+// Admit decides whether a request of a tenant with the given cost is admitted.
 func (l *Limiter) Admit(tenant string, limit Limit, cost float64, now time.Time) Decision {
 	if !limit.Limited() {
 		return Decision{Admitted: true, Share: 1}
@@ -88,13 +88,13 @@
 		a.admit(cost, now)
 		return decision
 	}
-	// Spread, so that those who were refused together do not return together.
+	// Randomize the delay, so that callers refused together do not retry together.
 	wait := time.Duration((0.5 + l.draw()) * float64(a.recovery(cost, k, now)))
 	decision.RetryAfter = max(shortestWait, wait)
 	return decision
 }
 
-// GiveBack takes back what was admitted for a request that did not run.
+// Refund returns the cost of an admitted request that did not run.
 func (l *Limiter) GiveBack(tenant string, cost float64, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -103,14 +103,14 @@
 	}
 }
 
-// Resize follows the number of nodes in the fleet.
+// Resize sets the number of nodes in the fleet.
 func (l *Limiter) Resize(nodes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.nodes = max(1, nodes)
 }
 
-// account returns a tenant's account.
+// bucket returns the bucket of a tenant.
 func (l *Limiter) account(key uint64, now time.Time) *account {
 	a := l.accounts[key]
 	if a == nil {
@@ -124,7 +124,7 @@
 	return a
 }
 
-// hears is for how many nodes the word counts now, this one included.
+// visibleNodes returns the number of nodes whose usage is known now, this one included.
 func (l *Limiter) hears(now time.Time) int {
 	if l.silent(now) {
 		return 1
@@ -132,11 +132,11 @@
 	return min(max(1, l.heard), l.nodes)
 }
 
-// silent reports whether nothing that counts was heard of other nodes.
+// peersStale reports whether the last peer report has expired.
 func (l *Limiter) silent(now time.Time) bool { return now.Sub(l.heardAt) > trusted }
 
-// knowledge is how much this node knows of the use of others. The word of others is
-// forgotten once it does not count any more.
+// visibility returns how much of the fleet's usage this node knows. Expired peer reports do not
+// count.
 func (l *Limiter) knowledge(now time.Time) knowledge {
 	k := knowledge{own: 1 / float64(l.nodes), trust: 1}
 	k.whole = float64(l.hears(now)) * k.own
@@ -146,7 +146,7 @@
 	return k
 }
 
-// Report returns what this node uses, without what does not matter.
+// Report returns this node's usage, without tenants whose usage is negligible.
 func (l *Limiter) Report(now time.Time) Report {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -162,7 +162,7 @@
 	return report
 }
 
-// sweep forgets accounts that nobody uses.
+// evictIdle removes buckets that have not been used for idleExpiry.
 func (l *Limiter) sweep(now time.Time) {
 	if now.Sub(l.swept) < restForgotten {
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-// Take takes what all other nodes use by their last word.
+// SetPeerUsage replaces the reported usage of all other nodes.
 func (l *Limiter) Take(others Report, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -185,14 +185,15 @@
 		l.told[use.Tenant] = use
 	}
 	for key, a := range l.accounts {
-		// The time until now passed under the word before.
+		// Until now the previous report applied.
 		a.advance(k, now)
 		a.others = l.told[key]
 	}
 	l.heard, l.heardAt = others.Nodes+1, now
 }
 
-// Largest returns the uses that ask most, as many as are told, in a fixed order.
+// TopUsages returns the usages with the highest demand, up to maxReportedTenants, in a stable
+// order.
 func Largest(uses []Use) []Use {
 	slices.SortFunc(uses, func(a, b Use) int {
 		return cmp.Or(-cmp.Compare(a.Asked, b.Asked), cmp.Compare(a.Tenant, b.Tenant))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -60,7 +60,7 @@
 	require.Empty(t, l.Report(begin).Uses)
 }
 
-// alone returns the limiter of the only node of a fleet that has run for a while.
+// newSingleNodeLimiter returns the limiter of a fleet's only node that has run for a while.
 func alone(draw func() float64) *Limiter {
 	l := New(bounds, draw, begin.Add(-time.Minute))
 	l.Resize(1)
@@ -88,7 +88,7 @@
 	require.True(t, l.Admit(tenant, tokens(10_000), 5000, begin.Add(20*time.Second)).Admitted)
 }
 
-// A limit that is lowered holds at once for what is still to be admitted.
+// A lowered limit must apply at once to requests that are still to be admitted.
 func TestALowerLimitHolds(t *testing.T) {
 	l := alone(always)
 	require.Equal(t, 1.0, l.Admit(tenant, tokens(1_000_000), 50_000, begin).Share)
@@ -98,7 +98,7 @@
 	require.Less(t, l.Admit(tenant, tokens(10_000), 5000, begin.Add(20*time.Second)).Share, 0.2)
 }
 
-// The word of others counts for a while, and then only this node's own part is left.
+// Peer reports count for a while; after that only this node's own share is left.
 func TestWhatIsHeardOfOthersIsForgotten(t *testing.T) {
 	l := New(bounds, never, begin.Add(-time.Minute))
 	l.Resize(10)
--- a/internal/quota/row.go
+++ b/internal/quota/row.go
@@ -5,36 +5,38 @@
 	"slices"
 )
 
-// kind says what a row of a report on servers counts. It stands in the low bits of the row's
-// key, where a tenant's key has what its hash has: one tenant in kindMask is taken for a row.
-// Rows travel as uses of limits do, so that builds that know none add them up and pass them on.
+// rowKind identifies what a row of a server report counts. It occupies the low bits of the row's
+// key, where a tenant's key holds its hash, so that one tenant in kindMask is mistaken for a
+// row. Rows are sent as usages, so that builds that do not know a kind still sum them and pass
+// them on.
 type kind uint64
 
 const (
 	kindBits      = 24
 	kindMask kind = 1<<kindBits - 1
 
-	// askedRow is of a service. Asked is how many requests a second come to the nodes that it
-	// is of, and Admitted how many nodes that are.
+	// requestedRow describes a service. Requested is the request rate at the reporting nodes,
+	// and Admitted the number of these nodes.
 	askedRow kind = 0x5e7a01
-	// namedRow is of a server. Asked is the sum of the limits that it has named to nodes of
-	// late, and Admitted how many nodes that are.
+	// limitRow describes a server. Requested is the sum of the limits that it recently
+	// advertised to nodes, and Admitted the number of these nodes.
 	namedRow kind = 0x5e7a02
-	// sentRow is of a server. Admitted is how many requests a second nodes send it, and Asked
-	// how many of them have heard of late that it names no limit any more.
+	// sentRow describes a server. Admitted is the rate at which nodes send it requests, and
+	// Requested the number of nodes that recently learned from it that it advertises no limit
+	// any more.
 	sentRow kind = 0x5e7a03
-	// fellRow is of a server that has named a lower limit of late than before. Asked is the sum
-	// of what it named to nodes then, and Admitted how many nodes that are.
+	// loweredRow describes a server that recently lowered its limit. Requested is the sum of the
+	// lowered limits advertised to nodes, and Admitted the number of these nodes.
 	fellRow kind = 0x5e7a04
 )
 
-// mostRows bounds the rows of one report: 3 kB. Services go first, which are few.
+// maxRows bounds the rows of one report, to 3 kB. Services, which are few, go first.
 const mostRows = 192
 
-// rowKey is the key of a row of a kind, on a service or server that is named by its hash.
+// rowKey returns the key of a row of a kind on the service or server with the given hash.
 func rowKey(subject uint64, k kind) uint64 { return subject&^uint64(kindMask) | uint64(k) }
 
-// isRow reports whether a key is that of a row, not of a tenant.
+// isRow reports whether a key belongs to a row rather than to a tenant.
 func isRow(key uint64) bool {
 	switch kind(key) & kindMask {
 	case askedRow, namedRow, sentRow, fellRow:
@@ -43,7 +45,7 @@
 	return false
 }
 
-// FirstRows returns as many rows as are told, in a fixed order.
+// TruncateRows returns the first maxRows rows in a stable order.
 func FirstRows(rows []Use) []Use {
 	ofServer := func(row Use) int {
 		if kind(row.Tenant)&kindMask == askedRow {
--- a/internal/quota/servers.go
+++ b/internal/quota/server_limits.go
@@ -10,34 +10,33 @@
 )
 
 const (
-	// ownWordLife is how long what a server says to a node goes before what others tell, and is
-	// told to others.
+	// ownReportLife is how long a limit received from the server itself takes precedence over
+	// peer reports and is reported to peers.
 	ownWordLife = 3 * time.Second
-	// sameLimit is the part by which two words on a limit may differ and be the same: what is
-	// told is a mean in single precision.
+	// limitTolerance is the relative difference up to which two limits count as equal: reported
+	// limits are means in single precision.
 	sameLimit = 0.01
-	// ownCallsPart is the part of a limit that nodes' own calls to a server may take, and
-	// longestPace the longest time between two of them.
+	// ownCallsFraction is the fraction of a limit that the fleet's own calls to a server may
+	// use, and maxCallInterval the longest time between two of them.
 	ownCallsPart = 0.1
 	longestPace  = 20 * time.Second
-	// shortestReturn and longestReturn bound the time after which a caller that was refused is
-	// told to come back.
+	// minServerRetryAfter and maxServerRetryAfter bound the retry time given to refused callers.
 	shortestReturn = 50 * time.Millisecond
 	longestReturn  = 30 * time.Second
 )
 
-// Servers keeps this node's part of the limits that servers name for all nodes together. It is
-// safe for concurrent use. Servers are named by a hash of their incarnation.
+// ServerLimits enforces the limits that servers advertise for the whole fleet at this node. It
+// is safe for concurrent use. Servers are identified by a hash of their incarnation.
 //
-// A node does not ask before it sends. It takes of each limit the part that its callers ask of
-// what all callers ask of the service, by the others' last word, and an even part if that is
-// old. So the sum of the parts is the limit whatever the demand, and what few nodes need the
-// others leave them.
+// A node does not consult its peers before it sends a request. Its share of each limit is its
+// fraction of the service's demand, according to the last peer reports, or an even share if
+// these are stale. The shares therefore add up to the limit at any demand, and capacity that few
+// nodes need is left to them by the others.
 type Servers struct {
 	draw func() float64
-	// known reports whether a server is still known.
+	// known reports whether a server still exists.
 	known func(server uint64) bool
-	// active counts the limits that are known. While there is none, nothing is locked.
+	// active is the number of known limits. While it is zero, no lock is taken.
 	active atomic.Int64
 
 	mutex      sync.Mutex
@@ -48,8 +47,8 @@
 	swept      time.Time
 }
 
-// NewServers returns what a node keeps that has heard of no limit. Known reports whether a
-// server is still known; draw returns random numbers from 0 to 1, 1 not included.
+// NewServerLimits returns an instance without any limits. The function known reports whether a
+// server still exists; draw returns random numbers in [0, 1).
 func NewServers(known func(server uint64) bool, draw func() float64) *Servers {
 	return &Servers{known: known, draw: draw, allowances: map[uint64]*allowance{}, demands: map[uint64]*demand{}, nodes: unknownFleet}
 }
@@ -57,7 +56,8 @@
 // Active reports whether any limit is known.
 func (s *Servers) Active() bool { return s.active.Load() > 0 }
 
-// Named takes that a server has named its limit to this node, and reports whether that is news.
+// ObserveLimit records a limit that a server advertised to this node, and reports whether it has
+// changed.
 func (s *Servers) Named(server uint64, perSecond float64, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,12 +69,13 @@
 	return news
 }
 
-// limit notes that a server names a limit, and reports whether that is news.
+// setLimit records the limit of a server, and reports whether it has changed.
 func (s *Servers) limit(server uint64, perSecond float64, now time.Time) (a *allowance, news bool) {
 	a = s.allowance(server)
 	if a == nil {
 		a = newAllowance(perSecond, now)
-		// Nodes that hear of it at the same moment do not begin at the same one.
+		// Nodes that learn of the limit at the same moment must not all send their first request
+		// at once.
 		a.level = -s.draw() * a.quantum(share{part: 1 / float64(s.nodes)}, now)
 		s.allowances[subject(server)] = a
 		s.active.Store(int64(len(s.allowances)))
@@ -85,13 +86,14 @@
 	return a, news
 }
 
-// subject is the part of a hash by which a server or service is told of.
+// rowSubject returns the bits of a hash that identify a server or service in a row.
 func subject(hash uint64) uint64 { return hash &^ uint64(kindMask) }
 
 func (s *Servers) allowance(server uint64) *allowance { return s.allowances[subject(server)] }
 
-// Unnamed takes that an answer of a server named no limit, and reports whether that is news. It
-// counts if the request was sent after the last answer that did: answers overtake each other.
+// ObserveNoLimit records an answer of a server without a limit, and reports whether this is a
+// change. It is ignored unless the request was sent after the last answer with a limit, because
+// answers may overtake each other.
 func (s *Servers) Unnamed(server uint64, sentAt, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,14 +109,14 @@
 	return true
 }
 
-// Asked counts a request of callers for a service.
+// Requested counts a caller's request for a service.
 func (s *Servers) Asked(service string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.demand(ServiceKey(service)).note(now)
 }
 
-// ServiceKey is the short name of a service between nodes.
+// ServiceKey returns the hash that identifies a service in reports.
 func ServiceKey(service string) uint64 { return xxhash.Sum64String(service) }
 
 func (s *Servers) demand(key uint64) *demand {
@@ -127,15 +129,15 @@
 	return d
 }
 
-// silent reports whether nothing that counts was heard of other nodes.
+// peersStale reports whether the last peer report has expired.
 func (s *Servers) silent(now time.Time) bool { return s.nodes > 1 && now.Sub(s.heardAt) > trusted }
 
 func (s *Servers) share(service string, now time.Time) share {
 	return s.demand(ServiceKey(service)).share(s.nodes, s.silent(now), now)
 }
 
-// Wait is the time in which this node may send a server of a service a request, as far as it is
-// known: 0 if one may be sent now.
+// Wait returns the estimated time until this node may send a request to a server of a service; 0
+// if it may be sent now.
 func (s *Servers) Wait(server uint64, service string, now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,7 +148,8 @@
 	return a.wait(s.share(service, now), now)
 }
 
-// forgetOver forgets a server that is one like any other again, and reports whether it is.
+// removeIfSlowStartDone removes a server that counts as unlimited again, and reports whether it
+// did.
 func (s *Servers) forgetOver(a *allowance, server uint64, now time.Time) bool {
 	if !a.over(now) {
 		return false
@@ -160,8 +163,8 @@
 	s.active.Store(int64(len(s.allowances)))
 }
 
-// Take takes a request to a server of a service out of its limit, and reports whether it may be
-// sent.
+// TryAcquire takes a request to a server of a service from its limit, and reports whether it may
+// be sent.
 func (s *Servers) Take(server uint64, service string, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -172,7 +175,7 @@
 	return a.take(s.share(service, now), s.draw(), now)
 }
 
-// Pay counts one of this node's own calls to a server of a service.
+// Charge counts one of this node's own calls to a server of a service.
 func (s *Servers) Pay(server uint64, service string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -181,8 +184,8 @@
 	}
 }
 
-// Pace is the least time between two of the fleet's own calls to a server; 0 if it names no
-// limit.
+// MinInterval returns the minimum time between two of the fleet's own calls to a server; 0 if
+// the server has no limit.
 func (s *Servers) Pace(server uint64, now time.Time) time.Duration {
 	if !s.Active() {
 		return 0
@@ -196,9 +199,9 @@
 	return min(longestPace, seconds(1/(ownCallsPart*a.limit(now))))
 }
 
-// Refused takes that a caller of a service was refused for the limits of its servers. It returns
-// when the caller should come back: one caller after the other, as fast as the servers take
-// requests of this node.
+// RefusalDelay records that a caller of a service was refused because of its servers' limits,
+// and returns when the caller should retry. Retries are staggered at the rate at which the
+// servers accept requests from this node.
 func (s *Servers) Refused(service string, servers []uint64, now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -219,14 +222,14 @@
 		next = first
 	}
 	if last := now.Add(longestReturn); next.After(last) {
-		// Those beyond it are spread by when they were refused.
+		// Callers beyond the maximum are spread by the time of their refusal.
 		next = last
 	}
 	d.returning = next
 	return next.Sub(now)
 }
 
-// Limited returns how many servers name a limit, to this node or to others.
+// LimitedCount returns the number of servers that advertise a limit, to this node or to a peer.
 func (s *Servers) Limited() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -239,7 +242,7 @@
 	return count
 }
 
-// Resize follows the number of nodes in the fleet.
+// Resize sets the number of nodes in the fleet.
 func (s *Servers) Resize(nodes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/quota/servers_test.go
+++ b/internal/quota/server_limits_test.go
@@ -16,20 +16,22 @@
 const (
 	limitedServer  = uint64(0xabcdef0123456789)
 	limitedService = "s"
-	// hearEvery is the time between two words of other nodes, and hearLate their age.
+	// gossipInterval is the time between two exchanges of reports, and gossipLag the number of
+	// exchanges by which received reports lag behind.
 	hearEvery = 250 * time.Millisecond
 	hearLate  = 2
 )
 
-// needy is a fleet in virtual time before one server that names a limit. Nodes that are cut
-// off hear and tell nothing. A node that a request reached the server from has been told.
+// limitedFleet is a fleet in virtual time that uses one server with a limit. Partitioned nodes
+// neither send nor receive reports. Nodes learn the limit with each request that they send to
+// the server.
 type needy struct {
 	nodes []*needyNode
-	// limit is what the server names, or negative if it names none.
+	// limit is the advertised limit, or negative if there is none.
 	limit  float64
 	random *rand.Rand
 	now    time.Time
-	// rounds are the sums of what nodes told, the newest last.
+	// gossipRounds holds the summed reports of all nodes, the newest last.
 	rounds []map[uint64]Use
 	sent   []time.Time
 	asked  int
@@ -37,7 +39,7 @@
 
 type needyNode struct {
 	servers *Servers
-	// demand is what callers ask of it, in requests a second.
+	// demand is the request rate at the node, per second.
 	demand float64
 	cut    bool
 	told   []map[uint64]Use
@@ -53,8 +55,8 @@
 	return f
 }
 
-// restart forgets all that a node knows, but for the size of the fleet and, since the server is
-// asked by it at once, its limit.
+// restart clears the state of a node, except for the size of the fleet and the server's limit,
+// which the node learns with its first request.
 func (f *needy) restart(n *needyNode, size int) {
 	n.servers = NewServers(func(uint64) bool { return true }, f.random.Float64)
 	n.servers.Resize(size)
@@ -64,7 +66,8 @@
 	}
 }
 
-// spread lets callers ask the fleet so many requests a second, of uneven parts of the nodes.
+// setDemand sets the fleet's total request rate; skew determines how unevenly it is distributed
+// among the nodes.
 func (f *needy) spread(demand, uneven float64) {
 	total := 0.0
 	for _, n := range f.nodes {
@@ -87,7 +90,8 @@
 	}
 }
 
-// tell lets all nodes tell, and hear what was told some rounds ago.
+// exchangeReports publishes the reports of all nodes, and delivers those of gossipLag exchanges
+// ago.
 func (f *needy) tell() {
 	sum := map[uint64]Use{}
 	for _, n := range f.nodes {
@@ -147,7 +151,7 @@
 	}
 }
 
-// most is the most that was sent within a window, since a time.
+// peakInWindow returns the largest number of requests sent within a window since a time.
 func (f *needy) most(since time.Time) int {
 	most, first := 0, 0
 	for i, at := range f.sent {
@@ -161,7 +165,7 @@
 	return most
 }
 
-// rate is how many requests a second were sent since a time.
+// sentRate returns the number of requests sent per second since a time.
 func (f *needy) rate(since time.Time) float64 {
 	count := 0
 	for _, at := range f.sent {
@@ -172,7 +176,8 @@
 	return float64(count) / f.now.Sub(since).Seconds()
 }
 
-// counting is the time in which requests enough are sent to tell how much of a limit is used.
+// measureTime returns the time in which enough requests are sent to measure the utilization of a
+// limit.
 func counting(size int, limit float64) time.Duration {
 	switch {
 	case limit > 2:
@@ -184,24 +189,24 @@
 	}
 }
 
-// leastUse is the part of a limit that must be used while far more is asked for.
+// minUtilization is the fraction of a limit that must be used under overload.
 const leastUse = 0.6
 
 func mostOf(perSecond float64) int {
 	return int(serverFactor*max(perSecond, leastLimit)*serverWindow.Seconds() + serverSlack)
 }
 
-// Whatever a server names and however many nodes there are, it gets no more than that, and what
-// it takes is used if far more is asked for, whoever is asked for it.
+// For any limit, fleet size and distribution of the demand, the server must receive no more than
+// its limit permits, and under overload the limit must be used.
 func TestServersAreKeptWithinTheirLimitsAndTheseAreUsed(t *testing.T) {
 	for _, size := range []int{1, 7, 24, 100, 1000} {
 		for _, limit := range []float64{0, 0.1, 1, 2, 5, 20, 100} {
 			for _, uneven := range []float64{0, 3, 40} {
 				if size == 1000 && limit < 20 && uneven > 0 {
-					// So few requests for so many nodes take long to count.
+					// With so few requests for so many nodes, the measurement takes too long.
 					continue
 				}
-				t.Run(fmt.Sprintf("%d nodes, %v a second, uneven %v", size, limit, uneven), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d nodes, limit %v/s, skew %v", size, limit, uneven), func(t *testing.T) {
 					t.Parallel()
 					f := newNeedy(size, limit, uint64(size)+uint64(limit*10))
 					f.spread(max(10, 6*limit), uneven)
@@ -218,8 +223,9 @@
 	}
 }
 
-// What callers ask may jump, to other nodes too, after a time in which they asked nothing; nodes
-// may be cut off or start again; the limit may fall, rise, end and come back.
+// The limit must hold when demand jumps, also to other nodes and after an idle period, when
+// nodes are partitioned or restarted, and when the limit is lowered, raised, lifted and
+// advertised again.
 func TestServersAreKeptWithinTheirLimitsWhateverHappens(t *testing.T) {
 	property.CheckMany(t, 150, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{1, 3, 7, 24, 79, 300}).Draw(t, "nodes")
@@ -255,7 +261,7 @@
 				check()
 				limit /= 3
 				f.limit = limit
-				// Nodes hear of it with their next request, or from others.
+				// Nodes learn of it with their next request or from peers.
 				f.run(fallTime)
 				since = f.now
 			case "rise":
@@ -275,14 +281,15 @@
 	})
 }
 
-// fallTime is the time in which all nodes have heard that a limit has fallen.
+// lowerPropagationTime is the time in which all nodes learn that a limit was lowered.
 const fallTime = 1500 * time.Millisecond
 
-// contactTime is the time in which all nodes have heard what one of them knows.
+// propagationTime is the time in which all nodes learn what one of them knows.
 const contactTime = 3 * time.Second
 
-// Pattern: a limit falls. A few nodes hear it from the server; the others heard the former one less
-// than ownWordLife ago, and would go on by it until they ask the server again.
+// A lowered limit first reaches only the few nodes that get an answer from the server. The
+// others learned the previous limit less than ownReportLife ago, and would keep using it until
+// their next request to the server.
 func TestALimitThatFallsIsFollowedByNodesThatHearOfItFromOthers(t *testing.T) {
 	for _, size := range []int{7, 24, 100, 300} {
 		for _, fall := range []float64{3, 10, 40} {
@@ -293,16 +300,16 @@
 			f.run(time.Second)
 			fallen := f.now
 			f.run(3 * serverWindow)
-			require.LessOrEqual(t, f.most(fallen), mostOf(f.limit), "%d nodes, to %v a second", size, f.limit)
+			require.LessOrEqual(t, f.most(fallen), mostOf(f.limit), "%d nodes, limit lowered to %v/s", size, f.limit)
 			settled := f.now
 			f.run(60 * time.Second)
-			require.GreaterOrEqual(t, f.rate(settled), leastUse*f.limit, "%d nodes, to %v a second", size, f.limit)
+			require.GreaterOrEqual(t, f.rate(settled), leastUse*f.limit, "%d nodes, limit lowered to %v/s", size, f.limit)
 		}
 	}
 }
 
-// A server that names no limit any more is used as any other some seconds later, by all nodes,
-// though only a few of them had a request there.
+// All nodes must treat a server as unlimited some seconds after it stops advertising a limit,
+// though only a few of them send requests to it.
 func TestALimitThatEndsIsForgotten(t *testing.T) {
 	for _, size := range []int{1, 7, 100} {
 		f := newNeedy(size, 1, 9)
@@ -319,8 +326,8 @@
 	}
 }
 
-// Pattern: a server that took little takes what comes again, and all nodes hear of it within a
-// second. What is sent doubles with each second, instead of all that waits coming at once.
+// All nodes learn within a second that a limit was lifted. The send rate must double every
+// second, so that waiting callers do not arrive at once.
 func TestALimitThatEndsBringsNoHerd(t *testing.T) {
 	f := newNeedy(100, 1, 4)
 	f.spread(2000, 1)
@@ -331,7 +338,7 @@
 	require.Less(t, f.rate(ended)*contactTime.Seconds(), 40.0)
 }
 
-// Callers that are refused come back one after the other, as fast as the server takes requests.
+// Retries must be staggered at the rate at which the server accepts requests.
 func TestCallersThatAreRefusedComeBackOneAfterTheOther(t *testing.T) {
 	s := NewServers(func(uint64) bool { return true }, func() float64 { return 0 })
 	s.Resize(1)
@@ -355,27 +362,27 @@
 	}
 }
 
-// What a server says to a node itself goes before what others tell, and an answer to what was
-// sent before a limit was named does not end it.
+// A limit received from the server itself takes precedence over peer reports, and an answer to a
+// request that was sent before the last advertised limit must not lift it.
 func TestTheLatestWordOfALimitCounts(t *testing.T) {
 	s := NewServers(func(uint64) bool { return true }, rand.Float64)
 	s.Resize(2)
 	require.True(t, s.Named(limitedServer, 5, begin))
 	require.False(t, s.Named(limitedServer, 5, begin.Add(time.Second)))
-	require.False(t, s.Unnamed(limitedServer, begin.Add(time.Second), begin.Add(2*time.Second)), "sent before the limit was named last")
+	require.False(t, s.Unnamed(limitedServer, begin.Add(time.Second), begin.Add(2*time.Second)), "the request was sent before the limit was last advertised")
 	ended := []Use{{Tenant: rowKey(limitedServer, sentRow), Asked: 1}}
-	require.Empty(t, s.Hear(ended, begin.Add(2*time.Second)), "its own word is newer")
+	require.Empty(t, s.Hear(ended, begin.Add(2*time.Second)), "the node's own observation takes precedence")
 	news := s.Hear(ended, begin.Add(time.Second+ownWordLife))
 	require.Len(t, news, 1)
 	require.True(t, news[0].Ended && news[0].Is(limitedServer))
 	named := []Use{{Tenant: rowKey(limitedServer, namedRow), Asked: 12, Admitted: 3}}
 	news = s.Hear(named, begin.Add(time.Second+ownWordLife))
 	require.Len(t, news, 1)
-	require.Equal(t, 4.0, news[0].PerSecond, "the mean of what they heard")
+	require.Equal(t, 4.0, news[0].PerSecond, "the mean of the peers' reports")
 	require.True(t, s.Unnamed(limitedServer, begin.Add(5*time.Second), begin.Add(6*time.Second)))
 }
 
-// Rows travel with reports of tenants, and are told apart from them.
+// Rows are sent in the same report as tenant usages and must be told apart when decoded.
 func TestRowsTravelAsUses(t *testing.T) {
 	report := Report{Nodes: 2, Uses: []Use{{Tenant: TenantKey("t"), Asked: 2, Admitted: 1}}, Rows: []Use{
 		{Tenant: rowKey(ServiceKey("s"), askedRow), Asked: 3, Admitted: 2},
@@ -386,8 +393,8 @@
 	require.Equal(t, report, read)
 }
 
-// worst is the most that some fleets with other luck sent within a window, in a time after they
-// were brought into a situation.
+// worstPeak returns the largest number of requests sent within a window, over several random
+// seeds, after setup has been applied.
 func worst(size int, limit float64, situation func(f *needy)) int {
 	most := 0
 	for seed := range uint64(12) {
@@ -400,8 +407,8 @@
 	return most
 }
 
-// Pattern: nobody asks for a while, and then all nodes are asked for much at the same moment. None
-// may take itself for the only one before it has heard of the others.
+// After an idle period demand rises at all nodes at the same moment. No node may claim the whole
+// limit before it has received the reports of the others.
 func TestNodesThatAreAskedAtTheSameMomentDoNotEachTakeTheWhole(t *testing.T) {
 	require.LessOrEqual(t, worst(100, 5, func(f *needy) {
 		f.spread(500, 0)
@@ -412,8 +419,8 @@
 	}), mostOf(5))
 }
 
-// Pattern: many nodes that are asked seldom. After a lull they are asked as before and more, each
-// for the first time in long.
+// Many nodes with little demand each get their first request in a long time when demand returns
+// after a lull, higher than before.
 func TestNodesThatAreAskedSeldomRememberHowMuchIsUsual(t *testing.T) {
 	require.LessOrEqual(t, worst(300, 1, func(f *needy) {
 		f.spread(10, 0)
@@ -424,7 +431,7 @@
 	}), mostOf(1))
 }
 
-// Pattern: a third of the nodes hears nothing of the others, and all are asked for far more.
+// A third of the nodes is partitioned under overload.
 func TestNodesThatAreCutOffKeepToTheirEvenPart(t *testing.T) {
 	require.LessOrEqual(t, worst(79, 4, func(f *needy) {
 		f.spread(300, 1)
@@ -435,8 +442,8 @@
 	}), mostOf(4))
 }
 
-// Pattern: hundreds of nodes draw for a limit of few requests, for long. By chance they would pass
-// it now and then if none of them stopped for what all have sent.
+// Hundreds of nodes draw for a limit of few requests over a long time. Without the check of the
+// window, random coincidence would exceed the limit now and then.
 func TestDrawsOfManyNodesDoNotAddUp(t *testing.T) {
 	f := newNeedy(150, 2, 5)
 	f.spread(600, 0)
@@ -447,7 +454,7 @@
 	require.GreaterOrEqual(t, f.rate(since), leastUse*2)
 }
 
-// A node's own calls go out whatever is left, and are taken out of what its callers get.
+// A node's own calls are sent regardless of the level, and reduce what is left for its callers.
 func TestOwnCallsAreTakenOutOfALimit(t *testing.T) {
 	s := NewServers(func(uint64) bool { return true }, rand.Float64)
 	s.Resize(1)
@@ -463,11 +470,11 @@
 			sent++
 		}
 	}
-	require.InDelta(t, 20*(2*spentPart-1), sent, 5, "20 s at 2 a second, of which the node's own calls take 1")
+	require.InDelta(t, 20*(2*spentPart-1), sent, 5, "20 s at 2 requests/s, of which the node's own calls use 1")
 }
 
-// Pattern: callers come to a node for the first time, while others have all of a limit. It is not
-// theirs yet, but they are told when it may be, one after the other.
+// Callers arrive at a node for the first time, while its peers hold all shares of a limit. They
+// are refused until the node has a share, with staggered retry times.
 func TestCallersOfANodeThatHasNoShareYetAreToldToComeBackInTurn(t *testing.T) {
 	s := NewServers(func(uint64) bool { return true }, func() float64 { return 0.5 })
 	s.Resize(2)
@@ -484,8 +491,8 @@
 	}
 }
 
-// BenchmarkWait is what the limits of the servers cost that one placement looks at, where all of
-// them name one.
+// BenchmarkWait measures the limit checks of one placement among servers that all advertise a
+// limit.
 func BenchmarkWait(b *testing.B) {
 	s := NewServers(func(uint64) bool { return true }, rand.Float64)
 	s.Resize(100)
--- a/internal/quota/servers_told.go
+++ b/internal/quota/server_reports.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// Told is news of a server's limit that another node has told.
+// LimitChange is a change of a server's limit reported by a peer.
 type Told struct {
-	// Server is the part of its hash by which it is told of; see Is.
+	// Subject identifies the server; see Matches.
 	Server uint64
-	// PerSecond is what it takes of all nodes together. Ended says that it names no limit any
-	// more.
+	// PerSecond is the limit for the whole fleet. Lifted is set if the server no longer
+	// advertises a limit.
 	PerSecond float64
 	Ended     bool
 }
 
-// Is reports whether the news is of a server.
+// Matches reports whether the change concerns a server.
 func (t Told) Is(server uint64) bool { return subject(server) == t.Server }
 
-// Report returns what this node tells others of services and servers: nothing while no server
-// names a limit.
+// Report returns this node's rows on services and servers; none while no limit is known.
 func (s *Servers) Report(now time.Time) []Use {
 	if !s.Active() {
 		return nil
@@ -50,21 +49,22 @@
 	return FirstRows(rows)
 }
 
-// named is a row on the limit that a server has named to this node.
+// limitRowOf returns a row with the limit that a server advertised to this node.
 func named(server uint64, k kind, a *allowance) Use {
 	return Use{Tenant: rowKey(server, k), Asked: min(a.perSecond, math.MaxFloat32/mostToldNodes), Admitted: 1}
 }
 
 const (
-	// mostToldNodes is more than any fleet has nodes: the sum of so many limits is a number.
+	// maxReportedNodes is larger than any fleet: the sum of that many limits still fits a
+	// float32.
 	mostToldNodes = 1 << 20
-	// leastSent is the flow, in requests a second, from which on it is told: the rest of a request
-	// that was sent two seconds ago.
+	// minReportedRate is the lowest send rate that is reported, in requests per second: the
+	// remainder of a request sent two seconds ago.
 	leastSent = 0.03
 )
 
-// sweep forgets servers that are gone, and those that this node has only been told of and
-// that nobody has told of or used for long.
+// evictIdle removes servers that no longer exist, and those known only from peers that have been
+// neither reported nor used for idleExpiry.
 func (s *Servers) sweep(now time.Time) {
 	if now.Sub(s.swept) < restForgotten {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// Hear takes what all other nodes told of services and servers, and returns what is news. What
-// a server said to this node itself of late goes before it.
+// SetPeerRows replaces the rows reported by all other nodes, and returns the resulting changes.
+// Limits that this node recently received from the server itself take precedence.
 func (s *Servers) Hear(rows []Use, now time.Time) []Told {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -94,7 +94,8 @@
 	for _, row := range rows {
 		switch kind(row.Tenant) & kindMask {
 		case askedRow:
-			// Also who is not asked for it tells so, for the others' parts.
+			// Nodes without requests for the service report too; this node needs their number to
+			// compute shares.
 			s.demand(row.Tenant).others = row
 		case namedRow:
 			named[subject(row.Tenant)] = row
@@ -128,7 +129,8 @@
 	return news
 }
 
-// hearNamed takes that servers have named a limit to other nodes: the mean of what they heard.
+// applyPeerLimit applies the limit that a server advertised to peers, as the mean of their
+// reports.
 func (s *Servers) hearNamed(key uint64, row Use, now time.Time) (Told, bool) {
 	if row.Admitted <= 0 {
 		return Told{}, false
@@ -141,10 +143,11 @@
 	return Told{Server: key, PerSecond: perSecond}, news
 }
 
-// hearFell takes that servers have named a lower limit to other nodes of late. It goes before what
-// this node heard itself, which was mostly before: were it not, a limit that falls to a fortieth
-// would be passed for the three seconds of ownWordLife (14 requests of 11 in 4 s at 100 nodes). If
-// it has risen since, this node learns that later, and sends too little meanwhile.
+// applyPeerLowered applies a lower limit that a server recently advertised to peers. It takes
+// precedence over the limit received by this node, which is usually older: otherwise a limit
+// that falls to a fortieth would be exceeded for the three seconds of ownReportLife (14 requests
+// of 11 in 4 s at 100 nodes). If the limit has risen since, this node learns that later and
+// sends too little meanwhile.
 func (s *Servers) hearFell(key uint64, row Use) (Told, bool) {
 	a := s.allowances[key]
 	if a == nil || row.Admitted <= 0 {
--- a/internal/quota/demand.go
+++ b/internal/quota/service_demand.go
@@ -6,54 +6,57 @@
 )
 
 const (
-	// demandMemory is the time in which a request loses most of its weight in what callers ask
-	// of a service. It is long, since a node may get one request in seconds.
+	// serviceDemandDecay is the decay time constant of the request rate of a service. It is
+	// long, since a node may receive only one request in several seconds.
 	demandMemory = 2 * time.Second
-	// demandSlot is the time between two samples of what callers ask, and demandDelay the age of
-	// the one that counts for a node's own part: by then all nodes have heard of it. Were it
-	// younger, all nodes whose callers ask more at the same moment would each take the part of
-	// a node that is alone in that.
+	// demandSampleInterval is the time between two samples of the request rate, and
+	// demandSampleAge the age of the sample that determines a node's own share: by then all
+	// nodes have received it. With a younger sample, nodes whose demand rises at the same moment
+	// would each claim the share of a node that is alone in this.
 	demandSlot  = 125 * time.Millisecond
 	demandDelay = time.Second
 	demandSlots = int(demandDelay / demandSlot)
-	// usualMemory is the time over which what callers ask is usual: after a lull they may come
-	// back at all nodes at the same moment.
+	// baselineDecay is the averaging time of the usual demand. After a lull, callers may return
+	// at all nodes at the same moment.
 	usualMemory = 30 * time.Second
-	// lullPart is the part of what is usual below which it is a lull, returnFactor how much more
-	// than usual may be asked at its end, and lullEnd the time until the nodes know how much.
+	// lullFraction is the fraction of the baseline below which demand counts as a lull,
+	// surgeFactor how many times the baseline may be requested when it ends, and lullRecovery
+	// the time until nodes know the actual demand.
 	lullPart     = 0.5
 	returnFactor = 4
 	lullEnd      = 3 * time.Second
 )
 
-// demand is what callers ask of one service: at this node, and at others by their last word.
+// serviceDemand is the request rate of one service, at this node and as last reported by its
+// peers.
 type demand struct {
 	asked flow
-	// samples holds what was asked in the last demandDelay, and sampled numbers the newest.
+	// samples holds the request rates of the last demandSampleAge; newestSample numbers the
+	// newest.
 	samples [demandSlots]float64
 	sampled int64
-	// others is what the others told: what is asked of them, and how many they are.
+	// peers is the last report of the peers: their request rate and their number.
 	others Use
-	// usual is the mean of what callers asked of all nodes, since but over usualMemory at most,
-	// as of usualAt.
+	// baseline is the mean request rate of all nodes since the first update, over at most
+	// baselineDecay, as of baselineAt.
 	usual   float64
 	usualAt time.Time
 	since   time.Time
-	// lullUntil is until when a lull counts.
+	// lullUntil is until when a lull is taken into account.
 	lullUntil time.Time
-	// returning is when the last caller that was refused is told to come back.
+	// lastRetryAt is the latest retry time given to a refused caller.
 	returning time.Time
 }
 
 func newDemand() *demand { return &demand{asked: flow{memory: demandMemory}} }
 
-// note counts a request.
+// countRequest counts a request.
 func (d *demand) note(now time.Time) {
 	d.sample(now)
 	d.asked.add(1, now)
 }
 
-// sample keeps what was asked until now.
+// sample records the request rate at each sample time up to now.
 func (d *demand) sample(now time.Time) {
 	current := now.UnixNano() / int64(demandSlot)
 	if current-d.sampled > int64(demandSlots) {
@@ -65,26 +68,27 @@
 	}
 }
 
-// settled is what was asked here so long ago that all nodes have heard of it.
+// settledRate returns this node's request rate at a time old enough for all nodes to have
+// received it.
 func (d *demand) settled(now time.Time) float64 {
 	d.sample(now)
 	return d.samples[(d.sampled+1)%int64(demandSlots)]
 }
 
-// share is what belongs to a node of the limits of a service's servers.
+// share is a node's share of the limits of a service's servers.
 type share struct {
-	// part is from 0 to 1, coming the part that will be its own if callers go on to ask as they do
-	// now, and asked what callers may ask of all nodes at this moment, in requests
-	// a second: what they ask now or usually, whichever is more, and in a lull what may come at
-	// its end.
+	// fraction is the share, from 0 to 1, and upcoming the share that the node will have if the
+	// current demand persists. demandRate is the possible demand on all nodes, in requests per
+	// second: the current rate or the baseline, whichever is higher, and during a lull the surge
+	// expected at its end.
 	part   float64
 	coming float64
 	asked  float64
 }
 
-// share returns this node's share in a fleet of so many nodes. Its part is what its callers ask
-// of what all callers ask. Nodes that have not told count as the mean of those that have; if the
-// word of others is old, none has.
+// share returns this node's share in a fleet of the given size: its own request rate relative to
+// that of all nodes. Nodes that have not reported count as the mean of those that have; if stale
+// is set, peer reports are ignored.
 func (d *demand) share(nodes int, silent bool, now time.Time) share {
 	settled, all := d.settled(now), d.all(nodes, silent, now)
 	d.average(all, now)
@@ -104,7 +108,7 @@
 	return share{part: settled / all, coming: max(settled, d.asked.perSecond(now)) / all, asked: asked}
 }
 
-// average takes what callers ask of all nodes into what they usually ask.
+// updateBaseline averages the current request rate of all nodes into the baseline.
 func (d *demand) average(all float64, now time.Time) {
 	if d.since.IsZero() {
 		d.since, d.usualAt = now, now
@@ -115,7 +119,7 @@
 	d.usualAt = now
 }
 
-// all is what callers ask of all nodes, as far as it is known.
+// fleetRate returns the request rate of all nodes, extrapolated from those that have reported.
 func (d *demand) all(nodes int, silent bool, now time.Time) float64 {
 	own := max(d.asked.perSecond(now), d.settled(now))
 	others := d.others
--- a/internal/quota/window.go
+++ b/internal/quota/sliding_window.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// windowSlots is the number of parts of a window whose sums are kept.
+// windowSlots is the number of slots that a window is divided into.
 const windowSlots = 16
 
-// window is a sum over the last length of time. The part of a slot that is older counts too.
+// slidingWindow is a sum over the last length of time. The oldest slot is counted in full,
+// including the part that is older than length.
 type window struct {
 	length time.Duration
 	slots  [windowSlots]float64
 	sum    float64
-	// newest numbers the slot that is filled now.
+	// newest numbers the slot that is being filled.
 	newest int64
 }
 
-// add notes an amount; a negative one takes some back.
+// add records an amount; a negative one reverts a recorded amount.
 func (w *window) add(amount float64, now time.Time) {
 	w.advance(now)
 	w.slots[w.newest%windowSlots] += amount
@@ -27,7 +28,7 @@
 	return max(0, w.sum)
 }
 
-// advance drops the slots that are over.
+// advance drops expired slots.
 func (w *window) advance(now time.Time) {
 	current := now.UnixNano() / (int64(w.length) / (windowSlots - 1))
 	if current-w.newest >= windowSlots {
--- a/internal/quota/account.go
+++ b/internal/quota/tenant_bucket.go
@@ -6,49 +6,50 @@
 )
 
 const (
-	// horizon is the time over which what the fleet may still admit is spread once a
-	// tenant asks for more than its limit. It is several times the age of what nodes
-	// know of each other, so that they do not overshoot in turns.
+	// correctionHorizon is the time over which the remaining capacity is spread once a tenant
+	// exceeds its limit. It is several times the age of peer reports, so that nodes do not
+	// overshoot alternately.
 	horizon = 1500 * time.Millisecond
-	// windowPart is the part of what the bounds allow within a window up to which
-	// requests are admitted. The rest covers what nodes do not know of each other.
+	// windowFraction is the fraction of the window's upper bound that is admitted. The rest
+	// absorbs usage that nodes have not yet reported to each other.
 	windowPart = 0.93
 )
 
-// account is what one node knows of one tenant's use of its limit.
+// tenantBucket is one node's view of a tenant's usage of its limit.
 type account struct {
 	limit    Limit
 	bounds   Bounds
 	asked    flow
 	admitted flow
-	// others is what the other nodes use by their last word.
+	// peers is the last reported usage of all other nodes.
 	others Use
-	// level is how much may be admitted at once as of at; it is negative after too much
-	// was admitted.
+	// level is the amount that may be admitted at once, as of at. It is negative after
+	// over-admission.
 	level float64
 	at    time.Time
-	// ownUsed and othersUsed are what was admitted within a window by this node, and by
-	// the others as far as it is known.
+	// ownAdmitted and peersAdmitted are the amounts admitted within the window by this node and,
+	// as far as reported, by its peers.
 	ownUsed    window
 	othersUsed window
 }
 
-// knowledge is how much a node knows of the use of others.
+// visibility describes how much of the fleet's usage a node knows.
 type knowledge struct {
-	// own is this node's even part of the fleet, and whole the part of the nodes that it
-	// has heard of: from 0 to 1.
+	// ownShare is this node's even share of the fleet, and heardShare the share of all nodes
+	// covered by the last peer reports, this node included. Both range from 0 to 1.
 	own   float64
 	whole float64
-	// trust is from 1, if the word of the others is fresh, to 0, if it is too old to count.
+	// freshness falls from 1, for fresh peer reports, to 0 once they have expired.
 	trust float64
 }
 
-// part is the part of the limit that belongs to the nodes whose use is known. It is the
-// less the older that is: by then others may use more.
+// fraction returns the fraction of the limit that this node accounts for, which belongs to the
+// nodes whose usage is known. It shrinks as peer reports age, because peers may use more by
+// then.
 func (k knowledge) part() float64 { return k.own + (k.whole-k.own)*k.trust }
 
-// newAccount returns an account of which nothing may be admitted at once: a node that has
-// just started does not know what others have admitted. Since is when it started.
+// newTenantBucket returns an empty bucket: a node that has just started does not know what its
+// peers have admitted. The argument since is the node's start time.
 func newAccount(bounds Bounds, since, now time.Time) *account {
 	return &account{
 		bounds:     bounds,
@@ -60,8 +61,8 @@
 	}
 }
 
-// advance moves the account on to now. What other nodes admit meanwhile is taken to be what
-// they told last.
+// advance moves the bucket to now. It assumes that peers kept admitting at their last reported
+// rate.
 func (a *account) advance(k knowledge, now time.Time) {
 	elapsed := max(0, now.Sub(a.at).Seconds())
 	a.at = now
@@ -69,11 +70,12 @@
 	a.othersUsed.add(others, now)
 	a.level += a.limit.PerSecond*k.part()*elapsed - others
 	a.level = min(a.level, a.bounds.capacity(a.limit)*k.part())
-	// What was admitted beyond a window ago is over, whatever was believed of it.
+	// Amounts admitted more than a window ago no longer count, so the deficit is bounded by one
+	// window.
 	a.level = max(a.level, -a.limit.PerSecond*k.part()*a.bounds.Window.Seconds())
 }
 
-// share is the share of what is asked now that may be admitted, from 0 to 1.
+// admitRatio returns the fraction of the current demand that may be admitted, from 0 to 1.
 func (a *account) share(k knowledge, now time.Time) float64 {
 	asked := a.askedNow(now)
 	if asked <= 0 {
@@ -84,23 +86,23 @@
 	return min(1, max(0, mayAdmit/asked))
 }
 
-// askedNow is what is asked of all nodes, as far as it is known, in the unit a second.
+// fleetRequested returns the known demand on all nodes, in the limit's unit per second.
 func (a *account) askedNow(now time.Time) float64 { return a.asked.estimate(now) + a.others.Asked }
 
-// windowLeft is what may still be admitted within the window that ends now.
+// windowRemaining returns the amount that may still be admitted within the window ending now.
 func (a *account) windowLeft(k knowledge, now time.Time) float64 {
 	used := a.ownUsed.at(now) + a.othersUsed.at(now)*k.trust
 	return windowPart*a.bounds.allowed(a.limit)*k.part() - used
 }
 
-// admit counts what was admitted; a negative cost takes some back.
+// charge records an admitted amount; a negative cost refunds it.
 func (a *account) admit(cost float64, now time.Time) {
 	a.admitted.add(cost, now)
 	a.ownUsed.add(cost, now)
 	a.level -= cost
 }
 
-// recovery is the time in which the fleet may admit a request of a cost again.
+// refillTime returns the time after which the fleet may admit a request of the given cost again.
 func (a *account) recovery(cost float64, k knowledge, now time.Time) time.Duration {
 	perSecond := a.limit.PerSecond * k.part()
 	missing := cost + max(0, -a.level, -a.windowLeft(k, now))
