--- a/internal/residency/news.go
+++ b/internal/residency/change_log.go
@@ -10,27 +10,27 @@
 	"github.com/juju/errors"
 )
 
-// mostNews bounds the entries that are kept for other nodes. Who has missed more
-// hears everything anew.
+// maxLogEntries bounds the log entries kept for other nodes. A node that has missed more
+// receives the full state.
 const mostNews = 8192
 
-// kind is what an entry tells of a holder.
+// changeKind is the kind of change that an entry records.
 type kind byte
 
 const (
-	// replaced says that what the holder has is told anew.
+	// replaced starts a new list of the holder's pieces.
 	replaced kind = iota
-	// present and absent tell of one part.
+	// present and absent record one piece.
 	present
 	absent
-	// lost says that nobody can tell what the holder has; isDown, that it does not
-	// answer.
+	// unknown means that no node knows which pieces the holder has, and unreachable that the
+	// holder does not answer.
 	lost
 	isDown
 )
 
-// entry is one change of what is known of holders. The teller is the node that told
-// of it, or "" if this node heard it from the holder.
+// logEntry is one change of the known state of holders. The field peer names the node that
+// reported it; it is "" if this node received it from the holder.
 type entry struct {
 	holder string
 	kind   kind
@@ -38,14 +38,15 @@
 	teller string
 }
 
-// news is the last entries in order. Its life is a number that no other has. Most nodes
-// are asked by nobody: theirs rest, and keep nothing, until they are.
+// changeLog holds the latest entries in order. Its epoch is a random number that identifies it.
+// Most nodes are never queried for updates: their log stays idle, without entries, until the
+// first request.
 type news struct {
 	life    uint64
 	first   int64
 	entries []entry
 	resting bool
-	// asked is the place at which they were asked for last.
+	// lastRequested is the position at the time of the last request.
 	asked int64
 }
 
@@ -58,7 +59,7 @@
 		return
 	}
 	if n.next()-n.asked >= 2*mostNews {
-		// Whoever asked last has missed too much to be told of changes alone.
+		// The last requester has missed too much for a delta.
 		*n = news{resting: true}
 		return
 	}
@@ -69,7 +70,7 @@
 	n.entries = append(n.entries, e)
 }
 
-// ask notes that somebody asks, and begins anew if the news were resting.
+// noteRequest records a request, and starts a new log if it was idle.
 func (n *news) ask() {
 	if n.resting {
 		*n = newNews()
@@ -77,33 +78,32 @@
 	n.asked = n.next()
 }
 
-// Place is up to where one node has heard another's news. The zero value has heard
-// nothing.
+// Place is a position in another node's log. The zero value is before any update.
 type Place struct {
 	Life uint64
 	Next int64
 }
 
-// changesOnly and all say what an answer holds: what has changed since the place
-// that was asked for, or all that is known.
+// deltaUpdate and fullUpdate are the kinds of update: the changes since the requested position,
+// or everything that is known.
 const (
 	changesOnly byte = iota
 	all
 )
 
-// section is the news of one holder.
+// section is the part of an update that concerns one holder.
 type section struct {
 	holder string
-	// state is replaced, lost, isDown, or present if only parts have changed.
+	// state is replaced, unknown, unreachable, or present if only single pieces have changed.
 	state kind
-	// has and lacks are the parts that have come and gone; lacks is empty unless the state
-	// is present.
+	// cached and evicted are the pieces that the holder has gained and lost; evicted is empty
+	// unless the state is present.
 	has   []Key
 	lacks []Key
 }
 
-// News returns what has changed since a place, encoded for Hearer.Take, and nil if
-// nothing has. Direct leaves out what this node heard from others.
+// Changes returns the changes since a position, encoded for PeerReceiver.Receive, or nil if
+// there are none. With ownOnly it leaves out what this node received from peers.
 func (l *Ledger) News(since Place, direct bool) []byte {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -129,7 +129,7 @@
 	return data
 }
 
-// sinceStart returns all that is known.
+// allSections returns everything that is known.
 func (l *Ledger) sinceStart() []section {
 	var sections []section
 	for name, known := range l.holdings {
@@ -144,14 +144,14 @@
 	return sections
 }
 
-// changed is what entries told of one holder.
+// holderChanges is the net change of one holder.
 type changed struct {
 	holder string
 	state  kind
 	parts  map[Key]bool
 }
 
-// section returns it with the parts in order.
+// section returns the changes as a section with sorted keys.
 func (c changed) section() section {
 	s := section{holder: c.holder, state: c.state}
 	for _, key := range slices.Sorted(maps.Keys(c.parts)) {
@@ -164,7 +164,7 @@
 	return s
 }
 
-// collect merges entries to one section a holder.
+// mergeEntries merges entries into one section per holder.
 func collect(entries []entry) []section {
 	var all []changed
 	place := map[string]int{}
@@ -191,8 +191,8 @@
 	return sections
 }
 
-// append encodes a section: the holder, its state, and the keys of the parts that it
-// has and of those that it has not.
+// append appends the encoded section: the holder, its state, and the keys of the cached and of
+// the evicted pieces.
 func (s section) append(data []byte) []byte {
 	data = binary.AppendUvarint(data, uint64(len(s.holder)))
 	data = append(data, s.holder...)
@@ -209,12 +209,12 @@
 	return data
 }
 
-var errNews = errors.New("the news of cached parts cannot be read; run the same version on all nodes")
+var errNews = errors.New("malformed update on cached pieces; all nodes must run the same version")
 
 // keyBytes is the length of an encoded key.
 const keyBytes = 4
 
-// decoder reads encoded news; failed says that they are cut short or wrong.
+// decoder decodes updates; failed is set if the data is truncated or invalid.
 type decoder struct {
 	data   []byte
 	failed bool
@@ -268,16 +268,16 @@
 	return s
 }
 
-// answer is decoded news.
+// update is a decoded update.
 type answer struct {
-	// place is up to where they reach.
+	// place is the position that the update leads to.
 	place Place
-	// whole says that the sections are all that is known.
+	// full is set if the sections are everything that is known.
 	whole    bool
 	sections []section
 }
 
-// decode reads encoded news whole, or not at all.
+// decodeUpdate decodes an update. It returns the complete update or an error.
 func decode(data []byte) (answer, error) {
 	d := &decoder{data: data}
 	var a answer
--- a/internal/residency/news_test.go
+++ b/internal/residency/change_log_test.go
@@ -13,14 +13,14 @@
 
 func piece(key Key) []Piece { return []Piece{{Key: key, Tokens: 1}} }
 
-// tell passes one node's news to another, as they do it.
+// syncPeer transfers one node's update to another, as the protocol does.
 func tell(h *Hearer, teller string, from *Ledger, direct bool, now time.Time) error {
 	place := h.Place(teller)
 	return h.Take(teller, place, from.News(place, direct), now)
 }
 
-// A node that hears of holders from another one knows what that one knows, whatever
-// it missed.
+// A node that learns of holders from a peer must know what the peer knows, whatever updates it
+// has missed.
 func TestNewsTellWhatTheHoldersTold(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		near, far := NewLedger(), NewLedger()
@@ -71,7 +71,7 @@
 	require.Equal(t, 1, follower.Held("h", "", piece(1), begin))
 }
 
-// How late a belief may get when a teller is lost is a figure: newsLife.
+// The reports of a lost peer must not be used for longer than peerTimeout.
 func TestTheWordOfANodeThatIsNotHeardIsForgotten(t *testing.T) {
 	owner, ledger := NewLedger(), NewLedger()
 	owner.Replace("h", []Key{1})
@@ -79,14 +79,14 @@
 	require.NoError(t, tell(hearer, "owner", owner, true, begin))
 	hearer.Expire(begin.Add(newsLife))
 	require.Equal(t, 1, ledger.Held("h", "", piece(1), begin))
-	// An answer without news is a word too.
+	// An empty update shows that the peer is alive, too.
 	require.NoError(t, tell(hearer, "owner", owner, true, begin.Add(time.Second)))
 	hearer.Expire(begin.Add(newsLife + time.Second))
 	require.Equal(t, 1, ledger.Held("h", "", piece(1), begin))
 	hearer.Expire(begin.Add(newsLife + time.Second + time.Millisecond))
 	require.Zero(t, ledger.Held("h", "", piece(1), begin))
 	require.NoError(t, tell(hearer, "owner", owner, true, begin.Add(time.Minute)))
-	require.Equal(t, 1, ledger.Held("h", "", piece(1), begin), "it is told anew")
+	require.Equal(t, 1, ledger.Held("h", "", piece(1), begin), "the full state is sent again")
 }
 
 func TestAnotherNodeTakesAHolderOver(t *testing.T) {
@@ -100,11 +100,11 @@
 	first.Lose("h", false)
 	require.NoError(t, tell(hearer, "first", first, true, begin))
 	require.Equal(t, 1, ledger.Held("h", "", piece(2), begin))
-	require.Zero(t, ledger.Held("h", "", piece(3), begin), "the first one's word counts no more")
+	require.Zero(t, ledger.Held("h", "", piece(3), begin), "the former peer's reports no longer count")
 	ledger.Replace("h", []Key{4})
 	second.Apply("h", []Change{{Key: 5, Present: true}})
 	require.NoError(t, tell(hearer, "second", second, true, begin))
-	require.Zero(t, ledger.Held("h", "", piece(5), begin), "this node asks itself now")
+	require.Zero(t, ledger.Held("h", "", piece(5), begin), "this node watches the holder itself now")
 	require.Equal(t, 1, ledger.Held("h", "", piece(4), begin))
 }
 
@@ -124,7 +124,7 @@
 		hearer := NewHearer(ledger)
 		if err := hearer.Take("owner", Place{}, data, begin); err != nil {
 			require.Empty(t, ledger.holdings)
-			require.Zero(t, hearer.Place("owner"), "all is asked for anew")
+			require.Zero(t, hearer.Place("owner"), "the full state is requested next")
 		}
 	})
 }
@@ -149,7 +149,7 @@
 	ledger.Replace("h", nil)
 	ledger.Note("h", "life", piece(1), 1, 100, begin)
 	require.Equal(t, 1, ledger.Held("h", "life", piece(1), begin))
-	require.Zero(t, ledger.Held("h", "next life", piece(1), begin), "a restart loses it")
+	require.Zero(t, ledger.Held("h", "next life", piece(1), begin), "a restart clears the cache")
 	require.Zero(t, ledger.Held("h", "life", piece(1), begin.Add(untoldLife)))
 }
 
@@ -159,12 +159,12 @@
 	f.Add(owner.News(Place{}, true))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if told, err := decode(data); err != nil && told.sections != nil {
-			t.Fatal("a part of what cannot be read was taken")
+			t.Fatal("sections of a malformed update were returned")
 		}
 	})
 }
 
-// BenchmarkNews is one answer of a reader of 9 servers that changed 100 parts.
+// BenchmarkNews measures one update from a node that watches 9 servers, with 100 changed pieces.
 func BenchmarkNews(b *testing.B) {
 	owner, ledger := NewLedger(), NewLedger()
 	hearer := NewHearer(ledger)
@@ -185,8 +185,8 @@
 	}
 }
 
-// Most nodes are asked for news by nobody: they keep none. Whoever asks after a rest is
-// told everything.
+// Most nodes are never queried for updates, so they keep no log. The first request after an idle
+// period must return the full state.
 func TestNewsRestUntilSomebodyAsks(t *testing.T) {
 	l, heard := NewLedger(), NewLedger()
 	h := NewHearer(heard)
@@ -203,7 +203,7 @@
 	for number := range 3 * mostNews {
 		l.Apply("holder", []Change{{Key: Key(3 + number%5), Present: number%2 == 0}})
 	}
-	require.Empty(t, l.news.entries, "nobody asks any more")
+	require.Empty(t, l.news.entries, "no node requests updates any more")
 	ask()
 	require.Equal(t, l.holdings["holder"].has, heard.holdings["holder"].has)
 }
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -1,6 +1,7 @@
-// Package residency remembers where cached parts of prompts lie: by the word of the
-// holders themselves, of which each is asked by one node that tells the others, and
-// by what this node itself sent. Both are hints: a server that lacks a part reads it.
+// Package residency tracks which servers and stores hold cached pieces of prompts. Each of these
+// holders is watched by one node, which forwards the changes to the others; in addition each
+// node assumes that holders have what it recently sent them. Both are hints: a server that lacks
+// a piece computes it.
 package residency
 
 import (
@@ -10,65 +11,64 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Key names one part of a prompt together with all that keeps it apart: wall,
-// model and version. It is short, since nodes tell each other of many; two parts
-// with the same key cost one wrong hint.
+// Key identifies a piece of a prompt within its cache scope, model and version. It is short,
+// since nodes exchange many of them; a collision costs one wrong hint.
 type Key uint32
 
-// NewKey names the part with an id that is kept under a salt.
+// NewKey returns the key of the piece with the given id and salt.
 func NewKey(salt, id string) Key { return Key(prefix.KeyOf(salt + id)) }
 
-// Piece is one part in the order of its prompt.
+// Piece is one piece of a prompt, in prompt order.
 type Piece struct {
 	Key    Key
 	Tokens int
 }
 
 const (
-	// sureShare is the share of a holder's memory that may be written anew before a
-	// part counts as given up. Parts unused longest give way first.
+	// retainedFraction is the fraction of a holder's capacity that may be written before a piece
+	// counts as evicted. Holders evict the least recently used pieces first.
 	sureShare = 0.6
-	// longestLife is how long a part is remembered without being used.
+	// maxAssumedAge is how long an unused piece is assumed to be cached.
 	longestLife = time.Minute
-	// untoldLife is the least time for which what this node sent to a followed holder
-	// counts: by then the holder's own word of it has come, if it has the part.
+	// minAssumedAge is the minimum time for which a piece that this node sent to a watched
+	// holder is assumed to be cached: by then the holder has reported it, if it has it.
 	untoldLife = time.Second
-	// sweepAbove is the number of parts of one holder above which old ones are
-	// looked for and forgotten.
+	// minSweepSize is the number of pieces of one holder above which old ones are removed.
 	sweepAbove = 4096
 )
 
-// mark is when a part was sent last: the holder's count of written tokens, the time
-// from which it is there, and that of its last use.
+// sendRecord records when a piece was last sent: the holder's count of written tokens, the time
+// from which the piece is available, and the time of its last use.
 type mark struct {
 	written int64
 	from    time.Time
 	used    time.Time
 }
 
-// holding is what is known of one incarnation of a holder.
+// holderState is what is known of one incarnation of a holder.
 type holding struct {
 	incarnation string
-	// followed says that the holder's own word counts, in has.
+	// watched is set if the holder's own reports are available, in cached.
 	followed bool
 	has      map[Key]bool
-	// teller is the node that tells of the holder, or "" if this node asks itself.
+	// peer is the node that reports on the holder, or "" if this node watches it itself.
 	teller string
-	// down says that the holder did not answer when it was asked last.
+	// down is set if the holder did not answer the last query.
 	down bool
-	// written counts the tokens that this node's requests brought.
+	// written counts the tokens written by this node's requests.
 	written  int64
 	capacity int64
 	sent     map[Key]mark
 	sweepAt  int
 }
 
-// Ledger is what one node remembers. It is safe for concurrent use.
+// Ledger is one node's record of cached pieces. It is safe for concurrent use.
 type Ledger struct {
 	mutex    sync.Mutex
 	holdings map[string]*holding
 	nodes    int64
-	// untold is for how long what this node sent to a followed holder counts.
+	// assumedAge is how long a piece that this node sent to a watched holder is assumed to be
+	// cached.
 	untold time.Duration
 	news   news
 }
@@ -78,22 +78,22 @@
 	return &Ledger{holdings: map[string]*holding{}, nodes: 1, untold: untoldLife, news: news{resting: true}}
 }
 
-// Resize follows the number of nodes: others write about as much as this one.
+// Resize sets the number of nodes; each is assumed to write about as much as this one.
 func (l *Ledger) Resize(nodes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.nodes = int64(max(1, nodes))
 }
 
-// Lags takes how late the word of a holder reaches this node.
+// SetReportDelay sets the delay with which the reports of holders reach this node.
 func (l *Ledger) Lags(by time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.untold = max(untoldLife, by)
 }
 
-// Held returns how many leading tokens of the pieces the holder has. What was sent
-// to another incarnation of it does not count.
+// CachedTokens returns the number of leading tokens of the pieces that the holder has. Pieces
+// sent to another incarnation of the holder do not count.
 func (l *Ledger) Held(holder, incarnation string, pieces []Piece, now time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return tokens
 }
 
-// probablyHas reports whether the holder probably has a part that this node sent there.
+// assumedPresent reports whether the holder probably has a piece that this node sent to it.
 func (l *Ledger) probablyHas(known *holding, key Key, now time.Time) bool {
 	mark, found := known.sent[key]
 	if !found || now.Before(mark.from) {
@@ -124,7 +124,7 @@
 	return !l.gone(known, mark, now)
 }
 
-// gone reports whether a part has probably given way.
+// assumedEvicted reports whether a piece has probably been evicted.
 func (l *Ledger) gone(known *holding, mark mark, now time.Time) bool {
 	if now.Sub(mark.from) > longestLife {
 		return true
@@ -133,8 +133,8 @@
 	return known.capacity > 0 && float64(since) > sureShare*float64(known.capacity)
 }
 
-// Note says that an incarnation of the holder has the pieces from a time on, that
-// their use brought it written tokens, and how many tokens it has room for.
+// RecordSent records that an incarnation of the holder has the pieces from availableAt on, the
+// number of tokens written for them, and the holder's capacity in tokens.
 func (l *Ledger) Note(holder, incarnation string, pieces []Piece, written, capacity int, from time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -157,7 +157,7 @@
 	l.sweep(known, from)
 }
 
-// sweep forgets old parts when there are many.
+// sweep removes old pieces if there are many.
 func (l *Ledger) sweep(known *holding, now time.Time) {
 	if len(known.sent) < known.sweepAt {
 		return
@@ -179,8 +179,9 @@
 	return known
 }
 
-// Replace takes the holder's own list of what it has. From then on the holder's
-// word counts, and what this node sends there only until that has come.
+// Replace sets the pieces that a holder reports to have. From then on its reports count, and a
+// piece that this node sends to it is assumed to be cached only until the holder must have
+// reported it.
 func (l *Ledger) Replace(holder string, keys []Key) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -198,13 +199,13 @@
 	}
 }
 
-// Change is one change of what a followed holder has.
+// Change is one change of the pieces that a watched holder has.
 type Change struct {
 	Key     Key
 	Present bool
 }
 
-// Apply takes changes that the holder told of.
+// Apply applies changes reported by the holder.
 func (l *Ledger) Apply(holder string, changes []Change) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -221,7 +222,7 @@
 	}
 }
 
-// apply takes changes that another node told of.
+// apply applies changes reported by a peer.
 func (l *Ledger) apply(holder string, known *holding, has, lacks []Key) {
 	for _, key := range has {
 		l.arrive(holder, known, key)
@@ -231,20 +232,20 @@
 	}
 }
 
-// arrive notes that a holder has a part.
+// markPresent records that a holder has a piece.
 func (l *Ledger) arrive(holder string, known *holding, key Key) {
 	known.has[key] = true
 	l.news.add(entry{holder: holder, kind: present, key: key, teller: known.teller})
 }
 
-// leave notes that a holder has a part no longer.
+// markAbsent records that a holder no longer has a piece.
 func (l *Ledger) leave(holder string, known *holding, key Key) {
 	delete(known.has, key)
 	l.news.add(entry{holder: holder, kind: absent, key: key, teller: known.teller})
 }
 
-// Lose says that this node cannot follow the holder any more, and whether that is
-// down. What another node tells of it stays.
+// Drop records that this node can no longer watch the holder, and whether the holder is down.
+// Reports of a peer on it are kept.
 func (l *Ledger) Lose(holder string, down bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -262,7 +263,7 @@
 	l.news.add(entry{holder: holder, kind: kind, teller: teller})
 }
 
-// Down reports whether the holder did not answer when it was asked last.
+// Down reports whether the holder did not answer the last query.
 func (l *Ledger) Down(holder string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/residency/ledger_test.go
+++ b/internal/residency/ledger_test.go
@@ -21,7 +21,7 @@
 	require.Equal(t, 1200, ledger.Held("a", "", prompt, begin))
 	require.Zero(t, ledger.Held("b", "", prompt, begin))
 	ledger.Note("b", "", prompt[1:], 600, 100_000, begin)
-	require.Zero(t, ledger.Held("b", "", prompt, begin), "what comes before is missing")
+	require.Zero(t, ledger.Held("b", "", prompt, begin), "the leading piece is missing")
 	ledger.Lose("a", false)
 	require.Zero(t, ledger.Held("a", "", prompt, begin))
 }
@@ -32,7 +32,7 @@
 	ledger.Note("store", "", prompt, 1400, 100_000, saved)
 	require.Zero(t, ledger.Held("store", "", prompt, begin))
 	ledger.Note("store", "", prompt, 0, 100_000, saved.Add(time.Second))
-	require.Equal(t, 1400, ledger.Held("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not put it off")
+	require.Equal(t, 1400, ledger.Held("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not delay availability")
 }
 
 func TestUnusedPartsGiveWayToWhatAllNodesWrite(t *testing.T) {
@@ -54,6 +54,6 @@
 		}
 		require.Equal(t, expected, ledger.Held("a", "", prompt, begin))
 		ledger.Note("a", "", prompt, 0, capacity, begin)
-		require.Equal(t, 1400, ledger.Held("a", "", prompt, begin), "use renews it")
+		require.Equal(t, 1400, ledger.Held("a", "", prompt, begin), "use renews the piece")
 	})
 }
--- a/internal/residency/hearer.go
+++ b/internal/residency/peer_receiver.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// newsLife is how long a node's word of holders counts if nothing more is heard of
-// the node.
+// peerTimeout is how long the reports of a peer count if nothing more is received from it.
 const newsLife = 2 * time.Second
 
-// Hearer takes the news of other nodes into a ledger. It is safe for concurrent use.
+// PeerReceiver applies updates from other nodes to a ledger. It is safe for concurrent use.
 type Hearer struct {
 	ledger *Ledger
 
@@ -17,32 +16,33 @@
 	tellers map[string]heard
 }
 
-// heard is up to where a node was heard, and when last.
+// peerState is the position up to which a peer's updates were received, and the time of the last
+// one.
 type heard struct {
 	place Place
 	at    time.Time
 }
 
-// NewHearer returns a hearer that has heard nobody.
+// NewPeerReceiver returns a receiver that has received no updates.
 func NewHearer(ledger *Ledger) *Hearer {
 	return &Hearer{ledger: ledger, tellers: map[string]heard{}}
 }
 
-// Place returns up to where a node was heard.
+// Place returns the position up to which a peer's updates were received.
 func (h *Hearer) Place(teller string) Place {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.tellers[teller].place
 }
 
-// Take takes what a node told since the place that was asked for; nil says that
-// nothing has changed. News that cannot be read change nothing, and all is asked for
-// anew.
+// Receive applies a peer's update since the requested position; nil means that nothing has
+// changed. A malformed update changes nothing, and resets the position, so that the next request
+// fetches everything.
 func (h *Hearer) Take(teller string, asked Place, data []byte, now time.Time) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.tellers[teller].place != asked {
-		// Another answer came first.
+		// Another response arrived first.
 		return nil
 	}
 	told := answer{place: asked}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Expire forgets what was told by nodes that were not heard of late.
+// RemoveStale removes the reports of peers that have timed out.
 func (h *Hearer) Expire(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -73,8 +73,8 @@
 	}
 }
 
-// hear takes another node's word of holders. What this node hears from a holder
-// itself goes before it.
+// applySections applies a peer's reports on holders. Holders that this node watches itself are
+// skipped.
 func (l *Ledger) hear(teller string, sections []section) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// forget drops all that a node told.
+// forgetPeer removes everything that a peer reported.
 func (l *Ledger) forget(teller string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/residency/follower.go
+++ b/internal/residency/watcher.go
@@ -13,85 +13,89 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// Batch is a part of what a holder tells of its memory.
+// Batch is a set of changes reported by a holder.
 type Batch struct {
-	// Life names the holder's incarnation; Next is from where to read on.
+	// Life identifies the holder's incarnation; Next is the position to continue from.
 	Life int64
 	Next int64
-	// Gap says that changes before these are lost.
+	// Gap is set if changes before these have been lost.
 	Gap     bool
 	Changes []Change
 }
 
-// Source asks holders what they have.
+// Source queries holders for their cached pieces.
 type Source interface {
-	// List returns all that the holder has, as changes.
+	// List returns all pieces that the holder has, as changes.
 	List(ctx context.Context, holder string) (Batch, error)
-	// Changes waits for changes after a place.
+	// Changes waits for changes after a position.
 	Changes(ctx context.Context, holder string, after int64, wait time.Duration) (Batch, error)
 }
 
-// ErrBusy says that the holder has enough readers.
-var ErrBusy = errors.New("the holder has enough readers; this node goes by what it sends itself")
+// ErrBusy means that the holder accepts no more readers.
+var ErrBusy = errors.New("the holder accepts no more readers; this node relies on the requests that it sends itself")
 
 const (
-	// changesWait is how long a holder keeps a question for changes open, and
-	// gatherTime how long changes are left to gather before they are asked for.
+	// longPollTimeout is how long a holder keeps a query for changes open, and minPollInterval
+	// how long changes accumulate between two queries.
 	changesWait = 800 * time.Millisecond
 	gatherTime  = 150 * time.Millisecond
-	// askInterval is the least mean time between a node's questions to all holders: who
-	// asks many lets each gather for longer.
+	// queryInterval is the minimum mean time between a node's queries to all holders: the more
+	// holders a node watches, the longer their changes accumulate.
 	askInterval = 20 * time.Millisecond
 	askTimeout  = 400 * time.Millisecond
-	// changesLag is how late holders tell of a change, with a question and its answer.
+	// changeLatency is the delay with which holders report a change, including the query and its
+	// answer.
 	changesLag = 200 * time.Millisecond
-	// renewAfter is how long changes are taken before all is asked for anew.
+	// resyncInterval is the time after which the full list is fetched again.
 	renewAfter = time.Minute
 	downPause  = 300 * time.Millisecond
 	busyPause  = 5 * time.Second
 )
 
-// Recorder hears of holders. Its methods must not block.
+// Recorder is notified about watched holders. Its methods must not block.
 type Recorder interface {
-	// Unfollowed hears once of a holder that cannot be followed any more, and
-	// Followed that it can be.
+	// WatchLost is called once when a holder cannot be watched any more, and WatchStarted when
+	// it can be.
 	Unfollowed(holder string, err error)
 	Followed(holder string)
 }
 
-// Follower keeps the ledger true to what one holder tells of itself.
+// Watcher keeps the ledger in sync with the changes that one holder reports.
 type Follower struct {
 	holder   string
 	source   Source
 	ledger   *Ledger
 	recorder Recorder
 
-	// gather returns how long changes are left to gather.
+	// pollInterval returns how long changes accumulate between two queries.
 	gather func() time.Duration
-	// Pace returns the least time between two questions to the holder, by its own word.
+	// MinInterval returns the minimum time between two queries to the holder, as set by its rate
+	// limit.
 	Pace func() time.Duration
 	lost bool
-	// renews says that the holder was followed before without a break.
+	// resync is set if the holder was watched without interruption before.
 	renews bool
 }
 
-// NewFollower returns a follower of one holder.
+// NewWatcher returns a watcher of one holder.
 func NewFollower(holder string, source Source, ledger *Ledger, recorder Recorder) *Follower {
 	return &Follower{holder: holder, source: source, ledger: ledger, recorder: recorder, gather: func() time.Duration { return gatherTime }, Pace: func() time.Duration { return 0 }}
 }
 
-// gatherFor is how long a node that asks so many holders lets the changes of each gather.
+// pollIntervalFor returns how long changes accumulate at each holder if a node watches the given
+// number of them.
 func gatherFor(holders int) time.Duration {
 	return max(gatherTime, time.Duration(holders)*askInterval)
 }
 
-// MostHolders is how many holders a node can ask without hearing of each the later for it.
+// MaxHolders is the number of holders that a node can watch without a longer poll interval.
 const MostHolders = int(gatherTime / askInterval)
 
-// WordTime is the time in which the word of a holder reaches a node that asks so many.
+// PropagationDelay returns the time in which a change reaches a node that watches the given
+// number of holders.
 func WordTime(holders int) time.Duration { return gatherFor(holders) + changesLag }
 
-// FollowAll runs a follower for each of the holders, as these come and go.
+// WatchAll runs a watcher for each of the current holders.
 func FollowAll(ctx context.Context, holders func() []string, follow func(holder string) *Follower) {
 	stops := map[string]context.CancelFunc{}
 	var count atomic.Int64
@@ -120,7 +124,7 @@
 	}
 }
 
-// Run follows until the context ends.
+// Run watches the holder until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.follow(ctx)
@@ -143,8 +147,9 @@
 	f.ledger.Lose(f.holder, false)
 }
 
-// begin learns all that the holder has. At first a holder that has forgotten none
-// of its changes is not asked for the list, which holds its work up.
+// loadInitial fetches all pieces that the holder has. At first it reads the changes from the
+// start, if the holder still has them all, because producing the list interrupts the holder's
+// work.
 func (f *Follower) begin(ctx context.Context) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -157,8 +162,8 @@
 	return f.source.List(ctx, f.holder)
 }
 
-// follow reads all that the holder has and then its changes, until there is a gap
-// or no answer.
+// watch fetches all pieces that the holder has and then its changes, until there is a gap or an
+// error.
 func (f *Follower) follow(ctx context.Context) error {
 	all, err := f.begin(ctx)
 	if err != nil {
@@ -170,7 +175,7 @@
 		f.recorder.Followed(f.holder)
 	}
 	life, next := all.Life, all.Next
-	// Changes that never came add up: after a time all is asked for anew.
+	// Lost changes accumulate, so the full list is fetched again after a time.
 	pause.For(ctx, f.Pace())
 	for begun := boottime.Now(); ctx.Err() == nil && boottime.Since(begun) < renewAfter; {
 		batch, err := f.changes(ctx, next)
@@ -190,7 +195,7 @@
 	return nil
 }
 
-// keysOf returns the keys that are there after the changes.
+// presentKeys returns the keys that are present after the changes.
 func keysOf(changes []Change) []Key {
 	has := map[Key]bool{}
 	for _, change := range changes {
--- a/internal/residency/follower_test.go
+++ b/internal/residency/watcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// told is a holder that tells of its memory.
+// fakeHolder is a holder that reports its cached pieces.
 type told struct {
 	mutex   sync.Mutex
 	life    int64
@@ -22,7 +22,7 @@
 	log     []Change
 	first   int64
 	failure error
-	// asked counts questions.
+	// queries counts the queries for changes.
 	asked int
 }
 
@@ -88,19 +88,19 @@
 		require.Zero(t, held())
 		holder.change(1, true)
 		ledger.Note("store", "", prompt, 0, 1, time.Now())
-		require.Equal(t, 1200, held(), "only the holder's own word counts")
+		require.Equal(t, 1200, held(), "the holder's own report takes precedence")
 		holder.set(func() { holder.first, holder.log = holder.first+9, nil; holder.has[2] = false })
-		require.Equal(t, 800, held(), "a gap is made up for")
+		require.Equal(t, 800, held(), "the full list is fetched after a gap")
 		holder.set(func() { holder.life, holder.has, holder.log, holder.first = 2, map[Key]bool{}, nil, 0 })
-		require.Zero(t, held(), "a restart loses all")
+		require.Zero(t, held(), "a restart clears the cache")
 		holder.set(func() { holder.failure = errors.New("no answer") })
 		time.Sleep(time.Second)
 		require.True(t, ledger.Down("store"))
 		holder.set(func() { holder.failure = ErrBusy })
 		time.Sleep(time.Second)
-		require.False(t, ledger.Down("store"), "it has enough readers, and lives")
+		require.False(t, ledger.Down("store"), "a busy holder is not down")
 		ledger.Note("store", "", prompt, 0, 100_000, time.Now())
-		require.Equal(t, 1400, ledger.Held("store", "", prompt, time.Now()), "then this node goes by what it sends")
+		require.Equal(t, 1400, ledger.Held("store", "", prompt, time.Now()), "without reports, sent pieces are assumed to be cached")
 	})
 }
 
@@ -119,12 +119,12 @@
 		})
 		time.Sleep(10 * time.Second)
 		stop()
-		// A first question to each, and then one in 20 ms.
+		// One initial query for each holder, and then one every 20 ms.
 		require.InDelta(t, 100+500, holder.asked, 100)
 	})
 }
 
-// eager is a holder that always has a change to tell of at once.
+// alwaysChanged is a holder that answers queries for changes without waiting.
 type eager struct{ *told }
 
 func (p *eager) Changes(ctx context.Context, holder string, after int64, _ time.Duration) (Batch, error) {
