--- a/internal/rollout/duty.go
+++ b/internal/rollout/controller.go
@@ -14,60 +14,60 @@
 	"github.com/cloverrail/cloverrail/internal/lease"
 )
 
-// Servers carries orders and questions to servers.
+// Servers sends orders and status queries to servers.
 type Servers interface {
-	// Order sends an order under a holder's name and fencing token.
+	// Order sends an order with the leader's name and fencing token.
 	Order(ctx context.Context, order Order, holder string, fence int64) (Result, error)
-	// Report asks a server how far it is.
+	// Report queries the status of a server.
 	Report(ctx context.Context, server backend.Server) (Report, error)
 }
 
-// Recorder hears of orders. Its methods must not block.
+// Recorder is notified about orders. Its methods must not block.
 type Recorder interface {
 	Ordered(order Order, fence int64, result Result, err error)
 	Loaded(loaded Loaded)
 }
 
-// errBornAgain says that a server has started again since it was asked.
-var errBornAgain = errors.New("the server has started again since")
+// errRestarted means that the server has restarted since it was queried.
+var errBornAgain = errors.New("server restarted since it was queried")
 
 const (
 	callTimeout = 300 * time.Millisecond
-	// finishPart is the part of the bound on weights by which all servers should
-	// have been moved.
+	// finishFraction is the fraction of the bound on weights by which all servers should have
+	// been updated.
 	finishPart = 0.8
-	// latestMargin is kept free below the bound for the order to arrive.
+	// orderMargin is the time reserved below the bound for the order to arrive.
 	latestMargin = 700 * time.Millisecond
-	// retellAfter is when loads are told of again that go on: nodes forget them after a
-	// few seconds, since their holder may be lost.
+	// rebroadcastInterval is the time after which ongoing loads are broadcast again: nodes drop
+	// them after a few seconds, because the leader may be lost.
 	retellAfter = time.Second
 )
 
-// Duty rolls weights out while its node holds the lease.
+// Controller rolls out weights while its node holds the lease.
 type Duty struct {
 	Belief   *catalog.Holder
 	Set      *backend.Set
 	Servers  Servers
 	Recorder Recorder
 	Holder   string
-	// Bound is the longest time for which older weights may serve.
+	// MaxStaleness is the longest time for which older weights may serve.
 	Bound time.Duration
-	// Notice returns the time in which all nodes hear what they are told.
+	// PropagationDelay returns the time in which a broadcast reaches all nodes.
 	Notice func() time.Duration
-	// Pace returns the least time between two calls to a server, by its own word; nil says that
-	// there is none.
+	// MinInterval returns the minimum time between two calls to a server, as set by its rate
+	// limit; nil means that there is none.
 	Pace func(server backend.Server) time.Duration
-	// Tell tells all nodes how far the roll-out is. It must not block.
+	// Broadcast sends the progress of the rollout to all nodes. It must not block.
 	Tell func(loads backend.Loads)
 
 	mutex   sync.Mutex
 	machine *Machine
-	// told is what the nodes were told last, and toldAt when.
+	// lastBroadcast holds the loads broadcast last, and lastBroadcastAt the time.
 	told   backend.Loads
 	toldAt time.Time
 }
 
-// targets returns what operators named, with the time in which it should hold.
+// targets returns the released versions and the deadlines for them.
 func (duty *Duty) targets() Targets {
 	targets := Targets{Pace: duty.Pace, Within: time.Duration(finishPart * float64(duty.Bound)), Latest: duty.Bound - latestMargin}
 	if belief := duty.Belief.Load(); belief != nil {
@@ -76,14 +76,14 @@
 	return targets
 }
 
-// Wanted reports whether a server is behind.
+// HasWork reports whether a server needs an update.
 func (duty *Duty) Wanted() bool {
 	now := boottime.Now()
 	return Behind(duty.targets(), duty.servers(now), now)
 }
 
-// servers returns the servers of declared services. One of another service serves nobody: its
-// entry may be another writer's.
+// servers returns the servers of declared services. Servers of other services receive no
+// requests; their entries may belong to another writer.
 func (duty *Duty) servers(now time.Time) []backend.Server {
 	servers := duty.Set.Servers(now)
 	belief := duty.Belief.Load()
@@ -93,16 +93,16 @@
 	return slices.DeleteFunc(servers, func(server backend.Server) bool { return belief.Snapshot.Service(server.Service) == nil })
 }
 
-// Lost forgets the orders of a tenure that is over.
+// LeadershipLost drops the orders of a leadership that has ended.
 func (duty *Duty) Lost() {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	duty.machine = nil
 }
 
-// Step decides on the orders and questions that are due. The state is to be
-// published before act is called, which tells the nodes of the loads before it sends
-// an order: they then keep new requests from servers that are about to load.
+// Step returns the state to publish and a function that executes the due orders and queries. The
+// state must be published before act is called. Before it sends an order, act broadcasts the
+// loads, so that nodes send no new requests to servers that are about to load.
 func (duty *Duty) Step() (state []byte, act func(ctx context.Context, tenure *lease.Tenure)) {
 	now := boottime.Now()
 	duty.mutex.Lock()
@@ -121,7 +121,8 @@
 	}
 }
 
-// tell tells the nodes of loads if these have changed, or go on for long.
+// broadcast sends the loads to all nodes if they have changed, or again after
+// rebroadcastInterval.
 func (duty *Duty) tell(loads backend.Loads, fence int64) {
 	same := slices.Equal(duty.told.Loading, loads.Loading) && slices.Equal(duty.told.Loaded, loads.Loaded)
 	fresh := len(loads.Loading) == 0 || boottime.Since(duty.toldAt) < retellAfter
@@ -135,7 +136,7 @@
 
 func (duty *Duty) act(ctx context.Context, tenure *lease.Tenure, actions []Action) {
 	for _, action := range actions {
-		// A freeze may lie between the decision and the sending.
+		// The process may have been suspended since the decision.
 		if !tenure.MayAct(boottime.Now()) {
 			return
 		}
@@ -150,19 +151,19 @@
 	}
 }
 
-// Resting reports whether a published state says that no order is under way.
+// Idle reports whether a published state says that no order is in progress.
 func (duty *Duty) Resting(state []byte) bool {
 	decoded, err := DecodeState(state)
 	return err == nil && !decoded.Active
 }
 
-// Own reports whether this node published a state, in this life or in one before.
+// OwnState reports whether a state was published by this node, before or after a restart.
 func (duty *Duty) Own(state []byte) bool {
 	decoded, err := DecodeState(state)
 	return err == nil && decoded.Holder == duty.Holder
 }
 
-// do runs a change of the machine, unless the tenure has ended since.
+// withMachine runs a change of the machine, unless the leadership has ended.
 func (duty *Duty) do(change func(machine *Machine)) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
@@ -188,7 +189,7 @@
 	instance := inspect.Server.Incarnation()
 	report, err := duty.Servers.Report(ctx, inspect.Server)
 	if err == nil && report.Born != inspect.Server.Born && report.Born != 0 {
-		// Another life answers, before the list names it.
+		// A new incarnation answers before the server list contains it.
 		duty.Set.Begun(inspect.Server, report.Born, report.Versions, boottime.Now())
 		err = errBornAgain
 	}
--- a/internal/rollout/duty_test.go
+++ b/internal/rollout/controller_test.go
@@ -16,7 +16,7 @@
 	"github.com/cloverrail/cloverrail/internal/lease"
 )
 
-// fencing is a server that has seen a higher fencing token.
+// fencedServer is a server that has seen a higher fencing token.
 type fencing struct {
 	mutex  sync.Mutex
 	orders int
@@ -57,7 +57,7 @@
 	})
 }
 
-// taking is a server that takes every order and never finishes it.
+// busyServer is a server that accepts every order and never finishes one.
 type taking struct{}
 
 func (taking) Order(context.Context, Order, string, int64) (Result, error) { return ResultTaken, nil }
@@ -65,8 +65,8 @@
 	return Report{Busy: true, Versions: map[string]int64{model: 1}}, nil
 }
 
-// The store is written when the roll-out begins and ends, however many servers load;
-// nodes hear of these from the holder, and what one tells later counts.
+// The store must be written only when the rollout begins and ends, however many servers load.
+// Nodes learn of the loads from the leader, whose later broadcasts take precedence.
 func TestLoadsAreToldAndTheStoreIsWrittenOnlyWhenTheRollOutBegins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -89,12 +89,12 @@
 			act(t.Context(), tenure)
 			time.Sleep(50 * time.Millisecond)
 		}
-		require.Len(t, states, 2, "at rest, and at work")
+		require.Len(t, states, 2, "idle and active")
 		require.Greater(t, len(told), 1)
 		for index := 1; index < len(told); index++ {
 			require.True(t, told[index-1].Mark.Before(told[index].Mark))
 			if slices.Equal(told[index-1].Loading, told[index].Loading) {
-				require.GreaterOrEqual(t, toldAt[index].Sub(toldAt[index-1]), retellAfter, "nothing is told twice at once")
+				require.GreaterOrEqual(t, toldAt[index].Sub(toldAt[index-1]), retellAfter, "unchanged loads are not broadcast again immediately")
 			}
 		}
 		require.NotEmpty(t, told[len(told)-1].Loading)
@@ -105,11 +105,11 @@
 			_, act := duty.Step()
 			act(t.Context(), tenure)
 		}
-		require.Len(t, told, before+1, "loads that go on are told of again, once")
+		require.Len(t, told, before+1, "ongoing loads are broadcast again, once")
 	})
 }
 
-// A server of a service that nobody declared may be another writer's: it is not ordered.
+// A server of an undeclared service may belong to another writer and must get no orders.
 func TestServersOfNoDeclaredServiceAreNotOrdered(t *testing.T) {
 	now := time.Now()
 	set, belief := backend.NewSet(), &catalog.Holder{}
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -1,6 +1,6 @@
-// Package rollout moves servers to the newest weights that operators named. It
-// decides which server is ordered when; one node at a time acts on it, under a
-// lease whose fencing token goes with every order.
+// Package rollout updates servers to the newest released weights. It decides when each server is
+// ordered to load them. One node at a time executes these decisions, under a lease whose fencing
+// token is sent with every order.
 //
 // Machine is a pure state machine.
 package rollout
@@ -15,76 +15,76 @@
 	"github.com/cloverrail/cloverrail/internal/backend"
 )
 
-// Result is what a server said to an order.
+// Result is the outcome of an order.
 type Result int
 
-// The results of orders.
+// The outcomes of orders.
 const (
-	// ResultUnknown leaves open whether the order was or will be taken.
+	// ResultUnknown means that the order may or may not be carried out.
 	ResultUnknown Result = iota
-	// ResultTaken says that the server carries the order out.
+	// ResultAccepted means that the server carries out the order.
 	ResultTaken
-	// ResultHolds says that the server has the version already.
+	// ResultAlreadyLoaded means that the server already has the version.
 	ResultHolds
-	// ResultConflict says that another order is under way, or that the server has
-	// taken orders that are not known here.
+	// ResultConflict means that another order is in progress, or that the server has accepted
+	// orders that are not known here.
 	ResultConflict
-	// ResultRejected says that the server will not take the order as it is.
+	// ResultRejected means that the server refuses the order as it is.
 	ResultRejected
-	// ResultFenced says that the server has seen a higher fencing token.
+	// ResultFenced means that the server has seen a higher fencing token.
 	ResultFenced
-	// ResultUnreached says that the order did not reach the server.
+	// ResultUnreachable means that the order did not reach the server.
 	ResultUnreached
 )
 
-// Order is the action of ordering a server to load a version. The server takes
-// it only as the same incarnation and with the same count of orders, so that a
-// copy that arrives late does nothing.
+// Order is the action of ordering a server to load a version. The server accepts it only in the
+// same incarnation and with the same count of orders, so that a duplicate that arrives late has
+// no effect.
 type Order struct {
 	Server  backend.Server
 	Model   string
 	Version int64
-	// Expected is how many orders the server must have taken before this one.
+	// Expected is the number of orders that the server must have accepted before this one.
 	Expected int64
-	// Runs says what becomes of the runs that are under way.
+	// InFlight determines the treatment of requests that are in flight.
 	Runs Runs
 }
 
-// Runs is what becomes of the runs that are under way at a server that loads weights.
+// InFlightPolicy is the treatment of requests in flight at a server that loads weights.
 type Runs int
 
 const (
-	// AwaitRuns lets them end first. The server takes nothing new meanwhile.
+	// AwaitInFlight lets them finish first. The server accepts no new requests meanwhile.
 	AwaitRuns Runs = iota
-	// ContinueRuns lets them go on under the new weights. What they make from then on is
-	// worth nothing.
+	// ContinueInFlight continues them with the new weights. The output generated from then on is
+	// worthless.
 	//
-	// The roll-out always continues runs. To continue n of them loses about half of each
-	// answer. To await them keeps the server from new requests until the longest has ended,
-	// in which time it would have answered n requests or more: it answers n in the mean
-	// time of a run.
+	// The rollout always uses this policy. With n requests in flight it loses about half of each
+	// answer. AwaitInFlight blocks new requests until the longest of them has finished, in which
+	// time the server would have answered n or more: it answers n in the mean duration of a
+	// request.
 	ContinueRuns
 )
 
-// Inspect is the action of asking a server how far it is.
+// Inspect is the action of querying the status of a server.
 type Inspect struct{ Server backend.Server }
 
-// Loaded tells that an order has shown its effect, for the log.
+// Loaded reports, for the log, that an order has taken effect.
 type Loaded struct {
 	Order Order
 	Took  time.Duration
 }
 
-// Report is what a server says of itself.
+// Report is the status reported by a server.
 type Report struct {
 	Busy     bool
 	Versions map[string]int64
 	Sequence int64
-	// Born is when the server that answered started, or 0 if it does not tell it.
+	// Born is the start time of the answering server, or 0 if it does not report it.
 	Born int64
 }
 
-// Action is what the holder of the duty must do.
+// Action is an action that the leader must execute.
 type Action interface{ action() }
 
 func (Order) action()   {}
@@ -93,52 +93,53 @@
 
 const (
 	inspectInterval = 200 * time.Millisecond
-	// resendAfter is when an order without an answer and without an effect is
-	// repeated. The repetition expects the same count of orders, so that at most
-	// one of the two is carried out.
+	// resendAfter is the time after which an order without an answer or an effect is repeated.
+	// The repetition expects the same count of orders, so that at most one of the two is carried
+	// out.
 	resendAfter = time.Second
-	// restAfterFailure is how long a server that took no order is passed over.
+	// failureBackoff is how long a server is skipped after an order or a query to it has failed.
 	restAfterFailure = 500 * time.Millisecond
-	// assumedLoad is how long a load is taken to last before one was seen.
+	// defaultLoadTime is the assumed duration of a load before any was observed.
 	assumedLoad = time.Second
 	loadGain    = 0.3
-	// overdueAfter is how many usual loads one may take before others stop waiting.
+	// overdueFactor is the multiple of the usual load time after which other servers no longer
+	// wait for a load.
 	overdueAfter = 3
-	// Of a service's servers, one in leastAtOnce loads at a time if there is time,
-	// and one in mostAtOnce if there is none.
+	// Of a service's servers, one in minConcurrencyDivisor loads at a time if there is enough
+	// time, and one in maxConcurrencyDivisor if there is none.
 	leastAtOnce = 6
 	mostAtOnce  = 4
 )
 
-// Machine is the state of the roll-outs.
+// Machine is the state of the rollouts.
 type Machine struct {
 	pending map[string]*pending
 	resting map[string]time.Time
-	// sequences holds the count of orders that each server last reported, and
-	// asked, when it was asked for it.
+	// sequences holds the count of orders that each server last reported, and contactedAt the
+	// time of the last order or query to it.
 	sequences map[string]int64
 	asked     map[string]time.Time
 	load      time.Duration
-	// loaded holds the moves that have ended since the roll-out began.
+	// loaded holds the loads that have finished since the rollout began.
 	loaded map[string]backend.Load
 }
 
-// pending is a move that is under way. Its order goes out at sendAt; sentAt is when it
-// went out last, and begunAt when first.
+// pendingLoad is a load that is planned or in progress. Its order is sent at sendAt; sentAt is
+// when it was last sent, and firstSentAt when it was first sent.
 type pending struct {
 	order   Order
 	sendAt  time.Time
 	sentAt  time.Time
 	begunAt time.Time
-	// latest is when the order must be out.
+	// orderBy is the deadline for sending the order.
 	latest time.Time
 	taken  bool
 }
 
-// sent reports whether the order has gone out.
+// sent reports whether the order has been sent.
 func (p *pending) sent() bool { return !p.begunAt.IsZero() }
 
-// NewMachine returns a machine that knows of no order.
+// NewMachine returns a machine without orders.
 func NewMachine() *Machine {
 	return &Machine{
 		pending:   map[string]*pending{},
@@ -150,7 +151,7 @@
 	}
 }
 
-// Behind reports whether any server needs an order.
+// AnyBehind reports whether any server needs an order.
 func Behind(targets Targets, servers []backend.Server, now time.Time) bool {
 	for _, server := range servers {
 		if _, lacks := targets.of(server, now); lacks && !server.Draining {
@@ -160,10 +161,10 @@
 	return false
 }
 
-// Idle reports whether no order is under way.
+// Idle reports whether no load is planned or in progress.
 func (machine *Machine) Idle() bool { return len(machine.pending) == 0 }
 
-// Loads returns how far the roll-out is, in a fixed order.
+// Loads returns the progress of the rollout in a stable order.
 func (machine *Machine) Loads() backend.Loads {
 	loads := backend.Loads{}
 	for _, known := range machine.pending {
@@ -178,7 +179,7 @@
 	return loads
 }
 
-// Step returns what to do now.
+// Step returns the actions that are due now.
 func (machine *Machine) Step(now time.Time, targets Targets, servers []backend.Server) []Action {
 	services := map[string][]backend.Server{}
 	present := map[string]bool{}
@@ -243,8 +244,8 @@
 	return actions
 }
 
-// plan begins a move. It is told of from now on, and its order goes out after the notice
-// if there is time for one.
+// plan adds a load. It is broadcast from now on, and its order is sent after the propagation
+// delay if the deadline permits.
 func (machine *Machine) plan(now time.Time, targets Targets, one lack, expected int64) {
 	order := Order{Server: one.server, Model: one.model, Version: one.version, Expected: expected, Runs: ContinueRuns}
 	sendAt := now.Add(targets.Notice)
@@ -254,7 +255,7 @@
 	machine.pending[one.server.Incarnation()] = &pending{order: order, sendAt: sendAt, latest: one.latest}
 }
 
-// due returns the order of a move if it is to go out now.
+// sendIfDue returns the order of a load if it is due.
 func (machine *Machine) due(now time.Time, server backend.Server) []Action {
 	known := machine.pending[server.Incarnation()]
 	if known.sent() || now.Before(known.sendAt) {
@@ -266,7 +267,7 @@
 	return []Action{known.order}
 }
 
-// inspect asks a server how far it is, unless it was asked just now.
+// inspect queries the status of a server, unless it was contacted recently.
 func (machine *Machine) inspect(now time.Time, targets Targets, server backend.Server) []Action {
 	if now.Sub(machine.asked[server.Incarnation()]) < targets.pace(server, inspectInterval) {
 		return nil
@@ -275,16 +276,16 @@
 	return []Action{Inspect{Server: server}}
 }
 
-// finish notes that an order has shown its effect. What is loaded is told until
-// the roll-out is over: by then the list of servers shows it.
+// finish records that an order has taken effect. The finished load is broadcast until the end of
+// the rollout: by then the server list shows it.
 func (machine *Machine) finish(instance string) {
 	order := machine.pending[instance].order
 	machine.loaded[instance] = backend.Load{Instance: order.Server.Instance, Model: order.Model, Version: order.Version}
 	delete(machine.pending, instance)
 }
 
-// underWay reports whether an order has not shown its effect yet. When it has,
-// the time that it took is learned.
+// inProgress reports whether an order has not taken effect yet. Otherwise the load time is
+// updated with its duration.
 func (machine *Machine) underWay(now time.Time, known *pending, server backend.Server) bool {
 	if server.Versions[known.order.Model] < known.order.Version {
 		return true
@@ -297,13 +298,12 @@
 	return false
 }
 
-// overdue reports whether a load takes so long that others should not wait for
-// it any more.
+// overdue reports whether a load takes so long that others should no longer wait for it.
 func (machine *Machine) overdue(now time.Time, known *pending) bool {
 	return known.sent() && now.Sub(known.begunAt) > overdueAfter*machine.load
 }
 
-// chase asks how far the server is, and repeats an order that seems lost.
+// followUp queries the status of the server, and repeats an order that seems lost.
 func (machine *Machine) chase(now time.Time, targets Targets, known *pending, server backend.Server) []Action {
 	if !known.sent() {
 		return nil
@@ -316,8 +316,8 @@
 	return machine.inspect(now, targets, server)
 }
 
-// atOnce is how many servers should load together for all to be done in time.
-// It starts with few, since loads slow each other down.
+// concurrency returns the number of servers that should load concurrently to meet the deadline.
+// It starts low, because loads slow each other down.
 func (machine *Machine) atOnce(now time.Time, behind []lack, loading, all int) int {
 	if len(behind) == 0 {
 		return 0
@@ -331,13 +331,13 @@
 	return min(max(least, wanted), most)
 }
 
-// withNotice returns how many moves are under way if so many servers load at a time: of
-// each move the notice is no load.
+// includingPropagation returns the number of planned and ongoing loads that keep the given
+// number of servers loading, since a load in its propagation delay is not yet loading.
 func (machine *Machine) withNotice(loading int, notice time.Duration) int {
 	return int(float64(loading) * (1 + notice.Seconds()/machine.load.Seconds()))
 }
 
-// Answered takes a server's answer to an order.
+// OrderAnswered records a server's answer to an order.
 func (machine *Machine) Answered(now time.Time, instance string, result Result) {
 	known := machine.pending[instance]
 	if known == nil {
@@ -356,15 +356,15 @@
 	}
 }
 
-// Unheard says that a server did not answer a question. If it is gone, others
-// need not wait for it; an order that it took all the same shows later.
+// InspectFailed records that a server did not answer a query. Others must not wait for a server
+// that may be gone; if it accepted an order nevertheless, that shows later.
 func (machine *Machine) Unheard(now time.Time, instance string) {
 	delete(machine.pending, instance)
 	machine.resting[instance] = now.Add(restAfterFailure)
 }
 
-// Inspected takes a server's report. The caller has told the set of servers of
-// its weights already. Reports lag, so one never lowers the count of orders.
+// Inspected records a server's report. The caller has already updated the server set with its
+// versions. Reports may be delayed, so they never lower the count of orders.
 func (machine *Machine) Inspected(now time.Time, instance string, report Report) {
 	known := machine.pending[instance]
 	machine.sequences[instance] = max(report.Sequence, machine.sequences[instance])
@@ -372,7 +372,7 @@
 		return
 	}
 	if known.taken && !report.Busy && now.Sub(known.sentAt) >= resendAfter {
-		// It was taken and is not under way any more: the server lost it.
+		// The server accepted the order but lost it, since it is not busy any more.
 		delete(machine.pending, instance)
 	}
 }
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -15,8 +15,8 @@
 
 const model = "m"
 
-// modelServer is a server in virtual time: it takes orders, loads for a while,
-// and may get an order late or lose its answer.
+// simServer is a server in virtual time: it accepts orders, loads for a while, and may receive
+// an order late or lose its answer.
 type modelServer struct {
 	name     string
 	life     int
@@ -35,7 +35,7 @@
 
 func (server *modelServer) instance() string { return fmt.Sprint(server.name, "-", server.life) }
 
-// carryOut takes an order as a real server would.
+// handleOrder processes an order as a real server would.
 func (server *modelServer) carryOut(now time.Time, order Order) Result {
 	switch {
 	case order.Server.Instance != server.instance():
@@ -65,21 +65,21 @@
 	}
 }
 
-// restart gives the server a new life with the weights that it had.
+// restart starts a new incarnation of the server with the same weights.
 func (server *modelServer) restart(now time.Time) {
 	server.life++
 	server.loading, server.sequence = 0, 0
 	server.downTill = now.Add(time.Second)
 }
 
-// world is a fleet of servers and the holder of the duty.
+// simulation is a fleet of servers and the leader.
 type world struct {
 	t       *rapid.T
 	now     time.Time
 	servers []*modelServer
 	machine *Machine
 	targets Targets
-	// view is what the holder believes, which lags behind.
+	// observed holds the versions known to the leader, which lag behind.
 	view map[string]int64
 	most int
 }
@@ -189,7 +189,7 @@
 				}
 			}
 		}
-		// Longer than the latest order that is still on its way.
+		// Longer than the delay of any order still in transit.
 		for range 1200 {
 			world.tick()
 		}
@@ -213,11 +213,11 @@
 		{Instance: "c", Service: "s", Versions: map[string]int64{model: 3}},
 		{Instance: "d", Service: "s", Versions: map[string]int64{model: 1}, Draining: true},
 	}
-	require.Len(t, machine.Step(now, targets, servers), 2, "both are asked for their count of orders")
+	require.Len(t, machine.Step(now, targets, servers), 2, "both are queried for their count of orders")
 	machine.Inspected(now, "a", Report{Versions: servers[0].Versions, Sequence: 4})
 	machine.Inspected(now, "b", Report{Versions: servers[1].Versions, Sequence: 2})
 	actions := machine.Step(now, targets, servers)
-	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, Runs: ContinueRuns}}, actions, "straight to the newest, one at a time")
+	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, Runs: ContinueRuns}}, actions, "directly to the newest version, one server at a time")
 }
 
 func TestMoreServersLoadTogetherWhenTimeIsShort(t *testing.T) {
@@ -237,12 +237,12 @@
 	targets.Within = 0
 	require.Equal(t, 3, orders(targets))
 	targets.Latest = 0
-	require.Equal(t, 12, orders(targets), "nothing may begin on the old weights any more")
+	require.Equal(t, 12, orders(targets), "no request may start on the old weights any more")
 	targets.Within, targets.Latest = 6*time.Second, 7*time.Second
 	targets.Weights[model][1].NotNamedAt = now.Add(-10 * time.Second)
 	require.Equal(t, 12, orders(targets))
 	targets.Disturbed = now.Add(-time.Second)
-	require.Equal(t, 3, orders(targets), "the time in which the store was away does not count")
+	require.Equal(t, 3, orders(targets), "the time of the store outage does not count")
 }
 
 func TestTheStateSaysWhoIsAtIt(t *testing.T) {
@@ -321,14 +321,14 @@
 	orders := machine.Step(now.Add(notice), targets, servers)
 	require.Len(t, orders, 1)
 	require.Equal(t, int64(2), orders[0].(Order).Version)
-	require.Empty(t, machine.Step(now.Add(notice), targets, servers), "it goes out once")
+	require.Empty(t, machine.Step(now.Add(notice), targets, servers), "the order is sent once")
 
 	targets.Latest = notice / 2
-	require.Len(t, begin().Step(now, targets, servers), 1, "there is no time")
+	require.Len(t, begin().Step(now, targets, servers), 1, "there is no time to wait for propagation")
 }
 
-// The time of the notice does not slow the roll-out down: as many servers load at a time
-// as without it.
+// Guards against a slower rollout due to the propagation delay: the same number of servers must
+// load concurrently as without it.
 func TestTheNoticeDoesNotSlowTheRollOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	planned := func(notice time.Duration) int {
@@ -354,8 +354,8 @@
 	begin := time.Unix(1000, 0)
 	server := backend.Server{Instance: "i-1", Service: "s", Versions: map[string]int64{model: 1}}
 	for name, one := range map[string]struct{ rest, ordered time.Duration }{
-		"a short rest":               {rest: 2 * time.Second, ordered: 2 * time.Second},
-		"a rest beyond the deadline": {rest: time.Hour, ordered: 7 * time.Second},
+		"a short backoff":               {rest: 2 * time.Second, ordered: 2 * time.Second},
+		"a backoff beyond the deadline": {rest: time.Hour, ordered: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machine := NewMachine()
@@ -366,7 +366,7 @@
 			ordered := time.Time{}
 			for now := begin; ordered.IsZero() && now.Before(begin.Add(10*time.Second)); now = now.Add(50 * time.Millisecond) {
 				for _, action := range machine.Step(now, targets, []backend.Server{server}) {
-					require.False(t, now.Before(begin.Add(one.ordered)), "it is neither asked nor ordered while it rests")
+					require.False(t, now.Before(begin.Add(one.ordered)), "the server gets neither queries nor orders during its backoff")
 					switch action.(type) {
 					case Inspect:
 						machine.Inspected(now, "i-1", Report{Versions: server.Versions})
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -7,30 +7,30 @@
 	"github.com/juju/errors"
 )
 
-// State is what the holder of the duty leaves in the store for the next one. How far
-// the roll-out is, it tells the other nodes itself.
+// State is the state that the leader keeps in the store for its successor. It broadcasts the
+// progress of the rollout to the other nodes itself.
 type State struct {
-	// Holder is the name of the node.
+	// Holder is the name of the leader's node.
 	Holder string
-	// Active says that orders may be under way.
+	// Active is set if orders may be in progress.
 	Active bool
 }
 
-// Encode returns the state as it is published. Equal states have equal encodings.
+// Encode returns the published form of the state. Equal states have equal encodings.
 func (state State) Encode() []byte {
 	buffer := bytes.Buffer{}
 	if err := gob.NewEncoder(&buffer).Encode(state); err != nil {
-		// Writing plain values to memory does not fail.
+		// Encoding plain values to memory does not fail.
 		panic(err)
 	}
 	return buffer.Bytes()
 }
 
-// DecodeState reads a published state.
+// DecodeState decodes a published state.
 func DecodeState(data []byte) (State, error) {
 	var state State
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&state); err != nil {
-		return State{}, errors.Annotate(err, "the published state of the roll-out cannot be read; run one version on all nodes")
+		return State{}, errors.Annotate(err, "malformed rollout state; all nodes must run the same version")
 	}
 	return state, nil
 }
--- a/internal/rollout/targets.go
+++ b/internal/rollout/targets.go
@@ -8,35 +8,38 @@
 	"github.com/cloverrail/cloverrail/internal/catalog"
 )
 
-// Targets is what servers should be moved to.
+// Targets is the goal of the rollout.
 type Targets struct {
-	// Weights holds the named versions of each model.
+	// Weights holds the released versions of each model.
 	Weights map[string]catalog.Namings
-	// Within is how long after a naming all servers should have it.
+	// FinishWithin is the time after a release in which all servers should have loaded it.
 	Within time.Duration
-	// Latest is how long after a naming every server must at least have its order:
-	// from then on nothing begins on the old weights.
+	// OrderWithin is the time after a release by which every server must have received its
+	// order: from then on no request may start on the old weights.
 	Latest time.Duration
-	// Disturbed is when the shared store was not sound last. Nobody could be moved
-	// until then, so no time is counted from before.
+	// DisruptedAt is the time of the last failure to read the shared store. No server could be
+	// updated until then, so earlier time does not count.
 	Disturbed time.Time
-	// Notice is how long before its order a server is told of as loading, so that nodes
-	// that hear of it late do not send it requests that it would reject.
+	// PropagationDelay is how long before its order a server is broadcast as loading, so that
+	// nodes that learn of it late do not send it requests that it would reject.
 	Notice time.Duration
-	// Uses holds what is under way at each instance. Those with the least go first,
-	// since a load begins when the runs have ended.
+	// Uses holds the requests in flight at each instance. Those with the fewest go first, since
+	// a load begins when these have ended.
 	Uses map[string]backend.Use
-	// Resting holds the servers that have asked this node for rest, with its end.
+	// Resting holds the servers that have asked this node to back off, with the end of the
+	// backoff.
 	Resting map[string]time.Time
-	// Pace returns the least time between two calls to a server, by its own word.
+	// MinInterval returns the minimum time between two calls to a server, as set by its rate
+	// limit.
 	Pace func(server backend.Server) time.Duration
 }
 
-// longestPace bounds the time between two calls to a server that loads weights: until it is
-// known to have them it takes no requests.
+// maxCallInterval bounds the time between two calls to a server that loads weights: it gets no
+// requests until it is known to have them.
 const longestPace = 2 * time.Second
 
-// pace is the least time between two calls to a server, if there are so many for another reason.
+// minInterval returns the minimum time between two calls to a server that are usually made at
+// the given interval.
 func (targets Targets) pace(server backend.Server, usual time.Duration) time.Duration {
 	if targets.Pace == nil {
 		return usual
@@ -44,25 +47,24 @@
 	return max(usual, min(longestPace, targets.Pace(server)))
 }
 
-// rests reports whether a server is left alone for now, since it has asked for rest: until
-// that is over, or its order is due at the latest. Operators' word that it must have new
-// weights goes before its own then.
+// inBackoff reports whether a server that has asked this node to back off is left alone for now.
+// At the deadline for its order the new weights take precedence over the backoff.
 func (targets Targets) rests(server backend.Server, latest, now time.Time) bool {
 	return now.Before(targets.Resting[server.Incarnation()]) && now.Before(latest)
 }
 
-// lack is what a server lacks: the newest version of a model, since the naming
-// of the first version that it has not.
+// staleServer is a server that lacks the newest version of a model, with deadlines counted from
+// the release of the first version that it lacks.
 type lack struct {
 	server   backend.Server
 	model    string
 	version  int64
 	deadline time.Time
-	// latest is when the order must be out.
+	// orderBy is the deadline for sending the order.
 	latest time.Time
 }
 
-// of returns what the server lacks, the most urgent first.
+// staleness returns the most urgent update that the server needs, if any.
 func (targets Targets) of(server backend.Server, now time.Time) (lack, bool) {
 	most, found := lack{}, false
 	for model, version := range server.Versions {
@@ -90,9 +92,8 @@
 	return most, found
 }
 
-// sortByUrgency puts those first that are late soonest; among equals, neighbours
-// in the order are in different zones, and of each zone those with the least work
-// come first.
+// sortByUrgency sorts by deadline. Among equal deadlines it alternates between zones, and within
+// each zone starts with the servers with the least work.
 func sortByUrgency(behind []lack, uses map[string]backend.Use) {
 	sort.Slice(behind, func(i, j int) bool {
 		first, second := behind[i].server.Incarnation(), behind[j].server.Incarnation()
