--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the operators' declaration of opaque services in the
-// form that requests are served by: routes, services, tenants and limits. A
-// Snapshot is immutable; a newer one replaces it whole.
+// Package catalog holds the operators' declaration of opaque services in the form used to serve
+// requests: routes, services, tenants and limits. A Snapshot is immutable; a newer one replaces
+// it as a whole.
 package catalog
 
 import (
@@ -13,66 +13,66 @@
 	"github.com/cloverrail/cloverrail/internal/quota"
 )
 
-// Kind says how often a request of a route may run.
+// ExecutionPolicy determines how often a request of a route may be executed.
 type Kind int
 
-// The kinds of route.
+// The execution policies.
 const (
-	// Once marks requests that may run at most once.
+	// AtMostOnce is for requests that may be executed at most once.
 	Once Kind = iota
-	// Repeatable marks requests that may run again without harm.
+	// Idempotent is for requests that may be executed repeatedly.
 	Repeatable
-	// Stream marks answers that are a series of events.
+	// Stream is for requests that are answered with an event stream.
 	Stream
 )
 
-// Share is one service's part of a route's traffic.
+// Share is one service's share of a route's traffic.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host below a path go, and within what bounds.
+// Route determines the services and bounds for requests to a host with a path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time a request may be held; 0 means no bound.
+	// Timeout is the longest time for which a request may be held; 0 means no bound.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to the first event of a stream.
+	// TargetLatency is the target time to the answer, or to the first event of a stream.
 	TargetLatency time.Duration
-	// GapTarget is the longest pause between events of a stream.
+	// GapTarget is the longest time between two events of a stream.
 	GapTarget time.Duration
 	// Priority orders requests; 0 is the most urgent.
 	Priority int
 	Split    []Share
-	// MaxAttempts bounds the servers that one request may run on.
+	// MaxAttempts bounds the number of servers that one request may be executed on.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another server after the last event.
+	// Resumable streams may be continued by another server after the last event.
 	Resumable bool
 }
 
-// MayRunAgain reports whether a second run does no harm.
+// Retryable reports whether a request may be executed again.
 func (route *Route) MayRunAgain() bool {
 	return route.Kind == Repeatable || (route.Kind == Stream && route.Resumable)
 }
 
-// Engine is what is declared of the inference servers of a service.
+// Engine declares the properties of the inference servers of a service.
 type Engine struct {
-	// Slots is how many requests a server runs at once.
+	// Slots is the number of requests that a server executes concurrently.
 	Slots int
-	// CacheTokens is the room of a server's memory.
+	// CacheTokens is the capacity of a server's KV cache.
 	CacheTokens int
 	// TokenBytes is the size of one cached token.
 	TokenBytes float64
-	// LinkBitsPerSecond is the speed at which a server takes cached tokens.
+	// LinkBitsPerSecond is the bandwidth at which a server receives cached tokens.
 	LinkBitsPerSecond float64
 }
 
-// PrefixStore is a store of kept KV cache that engines save to and fetch from.
+// PrefixStore is a KV cache store that engines save to and fetch from.
 type PrefixStore struct {
 	Address           string
 	Zone              string
@@ -80,30 +80,30 @@
 	LinkBitsPerSecond float64
 }
 
-// Service is a set of servers that serve alike.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections that one server takes from all callers.
+	// MaxConnections bounds the connections that one server accepts from all clients.
 	MaxConnections int
-	// Engine is nil for plain services.
+	// Engine is nil for services without inference servers.
 	Engine *Engine
-	// Store is set for a store of kept KV cache, which takes no requests.
+	// Store is set for a KV cache store, which receives no requests.
 	Store *PrefixStore
 }
 
-// Tenant is who a key belongs to.
+// Tenant is the owner of API keys.
 type Tenant struct {
 	Name string
-	// Priority overrides the routes' if HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	// Isolated tenants share no cached prefix with others.
 	Isolated bool
-	// Limit bounds what the tenant may ask of the whole fleet.
+	// Limit is the tenant's fleet-wide rate limit.
 	Limit quota.Limit
 }
 
-// Limits bound what a caller may send.
+// Limits bound what a client may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -113,7 +113,7 @@
 
 // Declaration is the operators' document, parsed but not indexed.
 type Declaration struct {
-	// Version only ever grows.
+	// Version only ever increases.
 	Version  int64
 	Routes   []Route
 	Services []Service
@@ -121,7 +121,7 @@
 	Limits   Limits
 }
 
-// TenantKeys is a tenant with the keys that it holds.
+// TenantKeys is a tenant with its API keys.
 type TenantKeys struct {
 	Tenant
 	Keys []string
@@ -180,8 +180,8 @@
 	return snapshot
 }
 
-// FindRoute returns the route of the host with the longest prefix of the path,
-// which is the path as sent, without the query. It returns nil when none fits.
+// FindRoute returns the route of the host with the longest matching prefix of the path, or nil
+// if there is none. The path is used as sent, without the query.
 func (snapshot *Snapshot) FindRoute(host, path string) *Route {
 	for _, route := range snapshot.routes[normalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// normalHost drops the port and the case of a host.
+// normalizeHost removes the port of a host and converts it to lower case.
 func normalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -202,13 +202,13 @@
 // Service returns a service, or nil.
 func (snapshot *Snapshot) Service(name string) *Service { return snapshot.services[name] }
 
-// Declaration returns what the snapshot was made of. It must not be changed.
+// Declaration returns the declaration of the snapshot. It must not be modified.
 func (snapshot *Snapshot) Declaration() *Declaration { return snapshot.declaration }
 
-// Stores returns the stores of kept KV cache.
+// Stores returns the KV cache stores.
 func (snapshot *Snapshot) Stores() []*PrefixStore { return snapshot.stores }
 
-// Keyed reports whether routes that are not public need a key.
+// RequiresKeys reports whether routes that are not public require a key.
 func (snapshot *Snapshot) Keyed() bool { return snapshot.keyed }
 
 // TenantOf returns the tenant that holds the key, or nil.
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -73,7 +73,7 @@
 	require.Equal(t, Namings{{Version: 1}, {Version: 2, NotNamedAt: second(1)}, {Version: 4, NotNamedAt: second(2)}}, namings)
 	lacks, found := namings.After(1)
 	require.True(t, found)
-	require.Equal(t, int64(2), lacks.Version, "a server is late from the first version that it lacks")
+	require.Equal(t, int64(2), lacks.Version, "staleness counts from the first version that the server lacks")
 	_, found = namings.After(4)
 	require.False(t, found)
 }
@@ -84,14 +84,14 @@
 	namings := Namings{{Version: 1}, {Version: 2, NotNamedAt: second(10)}, {Version: 3, NotNamedAt: second(14)}}
 	require.Equal(t, int64(0), namings.Required(second(0), second(0)))
 	require.Equal(t, int64(1), namings.Required(second(9), second(0)))
-	require.Equal(t, int64(2), namings.Required(second(12), second(0)), "a newer naming does not excuse the one before")
+	require.Equal(t, int64(2), namings.Required(second(12), second(0)), "a newer release does not extend the deadline of the previous one")
 	require.Equal(t, int64(3), namings.Required(second(15), second(0)))
 }
 
 func TestAReadingOfNothingDatesNothing(t *testing.T) {
 	belief := Advance(nil, Reading{})
 	belief = Advance(belief, Reading{SentAt: time.Unix(1000, 0), Weights: map[string]int64{"m": 3}})
-	require.Zero(t, belief.Weights["m"][0].NotNamedAt, "it may have been named long before")
+	require.Zero(t, belief.Weights["m"][0].NotNamedAt, "it may have been released long before")
 	require.True(t, belief.Fresh(time.Unix(1001, 0), time.Second))
 }
 
@@ -101,6 +101,6 @@
 	require.NotNil(t, belief)
 	belief = Advance(belief, Reading{SentAt: failedAt.Add(time.Second), Declaration: &Declaration{Version: 1}, Weights: map[string]int64{"m": 2}})
 	require.Equal(t, failedAt, belief.Disturbed)
-	require.True(t, belief.Weights["m"][0].NotNamedAt.IsZero(), "nobody knows when it was named")
+	require.True(t, belief.Weights["m"][0].NotNamedAt.IsZero(), "the time of the release is unknown")
 	require.Equal(t, failedAt.Add(time.Second), belief.AsOf)
 }
--- a/internal/catalog/belief.go
+++ b/internal/catalog/replica.go
@@ -8,16 +8,16 @@
 	"github.com/cloverrail/cloverrail/internal/coordination"
 )
 
-// Naming is one version of a model's weights that operators named.
+// Release is a version of a model's weights that operators released by naming it in the store.
 type Naming struct {
 	Version int64
-	// NotNamedAt is the last time at which it was certainly not named yet; it is
-	// zero when the version was found at the first reading.
+	// UnreleasedAt is the latest time at which the version was known not to be released yet. It
+	// is zero if the first read already returned the version.
 	NotNamedAt time.Time
 }
 
-// Since is the time from which a naming counts: nobody could follow it while the
-// shared store was disturbed. It is zero if nobody knows it.
+// EffectiveAt returns the time from which a release counts: no node could follow it while the
+// store was disrupted. It is zero if unknown.
 func (naming Naming) Since(disturbed time.Time) time.Time {
 	if !naming.NotNamedAt.IsZero() && naming.NotNamedAt.Before(disturbed) {
 		return disturbed
@@ -25,14 +25,14 @@
 	return naming.NotNamedAt
 }
 
-// mostNamings bounds the namings that are remembered of one model.
+// maxReleases bounds the releases kept for each model.
 const mostNamings = 32
 
-// Namings are the versions of one model's weights in the order of their naming,
-// which is also that of the versions.
+// Releases are the released versions of one model's weights, in the order of both release and
+// version.
 type Namings []Naming
 
-// Newest returns the newest version, or 0 if none was named.
+// Newest returns the newest version, or 0 if none was released.
 func (namings Namings) Newest() int64 {
 	if len(namings) == 0 {
 		return 0
@@ -40,7 +40,7 @@
 	return namings[len(namings)-1].Version
 }
 
-// After returns the first naming that a server with the given version lacks.
+// After returns the first release that a server with the given version lacks.
 func (namings Namings) After(version int64) (Naming, bool) {
 	for _, naming := range namings {
 		if naming.Version > version {
@@ -50,9 +50,9 @@
 	return Naming{}, false
 }
 
-// Required returns the oldest version that may still serve: the newest one that
-// may have been named before the given time. A version that was found at the
-// first reading counts as named at found.
+// Required returns the oldest version that may still serve: the newest one that may have been
+// released before the given time. A version returned by the first read counts as released at
+// firstReadAt.
 func (namings Namings) Required(before, found time.Time) int64 {
 	required := int64(0)
 	for _, naming := range namings {
@@ -67,7 +67,7 @@
 	return required
 }
 
-// with returns the namings with one more, if it is newer than all known.
+// withRelease returns the releases with one more, if it is newer than all of them.
 func (namings Namings) with(naming Naming) Namings {
 	if naming.Version <= namings.Newest() {
 		return namings
@@ -77,33 +77,34 @@
 	return next[max(0, len(next)-mostNamings):]
 }
 
-// Belief is what a node holds for true, and how recently it was true.
+// Replica is a node's copy of the declaration and the releases, with the time at which it was
+// current.
 type Belief struct {
 	Snapshot *Snapshot
-	// Weights holds the named versions of each model.
+	// Weights holds the releases of each model.
 	Weights map[string]Namings
-	// AsOf is when the call was sent whose answer proved all this current. What
-	// was acknowledged to an operator later may be missing.
+	// AsOf is when the request was sent whose answer proved the replica current. Anything
+	// acknowledged to an operator later may be missing.
 	AsOf time.Time
-	// Disturbed is when a reading failed last: the store, or the way to it, was not
-	// sound then, and what was to be done since could not be.
+	// DisruptedAt is when a read last failed: the store or the connection to it was unavailable
+	// then, so nothing due since an earlier time could be done until then.
 	Disturbed time.Time
 }
 
-// Reading is one linearizable look at the declaration.
+// ReadResult is the result of one linearizable read.
 type Reading struct {
-	// SentAt is when the look's first call was sent.
+	// SentAt is when the first request of the read was sent.
 	SentAt time.Time
-	// At is where the store was at that look, or zero if it is not known.
+	// At is the position of the store at the read, or zero if unknown.
 	At coordination.Position
-	// Declaration is nil when it is the one of the reading before.
+	// Declaration is nil if it has not changed since the previous read.
 	Declaration *Declaration
-	// Weights holds the named version of each model.
+	// Weights holds the released version of each model.
 	Weights map[string]int64
 }
 
-// Advance returns the belief that follows from a reading. Versions never go
-// down: an older declaration than the known one is not taken over.
+// Advance returns the replica updated with a read. Versions never decrease: a declaration older
+// than the known one is ignored.
 func Advance(known *Belief, reading Reading) *Belief {
 	next := &Belief{AsOf: reading.SentAt, Weights: map[string]Namings{}}
 	previous := time.Time{}
@@ -126,8 +127,8 @@
 	return next
 }
 
-// Disturb returns the belief that follows from a reading that failed. Before the
-// first reading that is a belief without a snapshot.
+// MarkDisrupted returns the replica updated with a failed read. Before the first read this is a
+// replica without a snapshot.
 func Disturb(known *Belief, now time.Time) *Belief {
 	if known == nil {
 		return &Belief{Disturbed: now}
@@ -139,23 +140,23 @@
 	return &next
 }
 
-// SameWeights reports whether two beliefs know the same versions to be the newest.
+// SameNewestVersions reports whether both replicas have the same newest version of each model.
 func (belief *Belief) SameWeights(other *Belief) bool {
 	return maps.EqualFunc(belief.Weights, other.Weights, func(a, b Namings) bool { return a.Newest() == b.Newest() })
 }
 
-// Holder is where a node keeps its belief. Readers take it whole.
+// AtomicReplica holds a node's replica. Readers load it as a whole.
 type Holder struct {
 	belief atomic.Pointer[Belief]
 }
 
-// Load returns the belief, or nil before the first reading.
+// Load returns the replica, or nil before the first read.
 func (holder *Holder) Load() *Belief { return holder.belief.Load() }
 
-// Store replaces the belief.
+// Store sets the replica.
 func (holder *Holder) Store(belief *Belief) { holder.belief.Store(belief) }
 
-// Fresh reports whether the belief was true no longer ago than bound.
+// Fresh reports whether the replica was current no longer than bound ago.
 func (belief *Belief) Fresh(now time.Time, bound time.Duration) bool {
 	return now.Sub(belief.AsOf) <= bound
 }
