--- a/cmd/cloverrail/silence_test.go
+++ b/cmd/cloverrail/attempt_timeout_test.go
@@ -10,8 +10,8 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// Guards against requests that fail beside a server that would have answered them: an attempt that
-// is silent for longer than its target is given up only for another server.
+// Guards against requests that fail although their server would have answered: an attempt that
+// exceeds its latency target is abandoned only if another server can take the request.
 func TestSilentAttemptGoesOnWhereNoOtherServerTakesIt(t *testing.T) {
 	const pause = time.Second
 	late := func(c call) standin.Manner {
@@ -31,7 +31,7 @@
 				require.NoError(t, got.err)
 				require.Equal(t, http.StatusOK, got.status, got.body)
 			}
-			require.Len(t, slow.Arrivals(), 2, "each was sent once")
+			require.Len(t, slow.Arrivals(), 2, "each request was sent once")
 
 			other := instanceOf(c, "i-2", soundly(c))
 			fixture.add(other)
--- a/cmd/cloverrail/fixture_test.go
+++ b/cmd/cloverrail/fixture_test.go
@@ -25,14 +25,14 @@
 	host  = "shop.example"
 	key   = "key-of-one"
 	model = "m"
-	// limitedKey is held by a tenant that may send 20 requests a second, and 5 at once.
+	// limitedKey belongs to a tenant that is limited to 20 requests per second with a burst of 5.
 	limitedKey = "key-of-three"
 )
 
-// eventually is how long a test waits for what must come; none waits that long.
+// waitTimeout bounds each wait for a condition. No passing test waits that long.
 const eventually = 20 * time.Second
 
-// fixture is a proxy between a client and stand-ins of the platform.
+// fixture runs a proxy between a client and stand-ins for the platform.
 type fixture struct {
 	t        testing.TB
 	store    *standin.Store
@@ -40,15 +40,15 @@
 	front    *httptest.Server
 	requests atomic.Int64
 	version  int64
-	// kill ends the node as far as others can tell.
+	// kill stops the node as seen from other nodes.
 	kill func()
-	// ways are the node's to the store and the others' to the node; cutOff says that it
-	// does not reach others either.
+	// links are the connections from the node to the store and from other nodes to it. isolated
+	// cuts the node's own calls to other nodes.
 	ways   []*faultwire.Wire
 	cutOff atomic.Bool
 }
 
-// cut takes the node's ways to the store and to other nodes, or gives them back.
+// setIsolated cuts or restores the node's connections to the store and to other nodes.
 func (fixture *fixture) cut(off bool) {
 	mode := faultwire.Sound
 	if off {
@@ -60,9 +60,9 @@
 	fixture.cutOff.Store(off)
 }
 
-var errCutOff = errors.New("the node is cut off")
+var errCutOff = errors.New("the node is isolated")
 
-// RoundTrip calls other nodes, unless the node is cut off.
+// RoundTrip calls other nodes, unless the node is isolated.
 func (fixture *fixture) RoundTrip(request *http.Request) (*http.Response, error) {
 	if fixture.cutOff.Load() {
 		return nil, errCutOff
@@ -70,7 +70,7 @@
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// way returns a wire to an address.
+// newLink returns the address of a fault-injecting link to an address.
 func (fixture *fixture) way(address string) string {
 	wire, err := faultwire.New(address)
 	require.NoError(fixture.t, err)
@@ -105,14 +105,14 @@
 	}
 }
 
-// newFixture starts a proxy whose bounds are short, so that tests are. The
-// declaration is not there yet.
+// newFixture starts a proxy with short bounds, which keep tests short. The store holds no
+// declaration yet.
 func newFixture(t testing.TB) *fixture {
 	store, address := newStore(t)
 	return newNode(t, store, address, "node")
 }
 
-// newStore starts a stand-in of the platform's store.
+// newStore starts a stand-in for the platform's store.
 func newStore(t testing.TB) (store *standin.Store, address string) {
 	store = standin.NewStore()
 	server := httptest.NewServer(store)
@@ -120,7 +120,7 @@
 	return store, server.Listener.Addr().String()
 }
 
-// newNode starts one node of a fleet, with its peer address open.
+// newNode starts one node of a fleet and serves its peer address.
 func newNode(t testing.TB, store *standin.Store, storeAddress, name string) *fixture {
 	fixture := &fixture{t: t, store: store}
 	peers := httptest.NewUnstartedServer(nil)
@@ -155,7 +155,7 @@
 	return fixture
 }
 
-// serve starts servers and waits until the proxy knows them and the declaration.
+// serve starts servers and waits until the proxy has read them and the declaration.
 func (fixture *fixture) serve(servers ...*standin.Server) *fixture {
 	for _, server := range servers {
 		fixture.add(server)
@@ -179,7 +179,7 @@
 	fixture.store.Put(standin.PrefixServers+server.Instance, server.Entry(service, address, "a", state))
 }
 
-// declare puts a newer declaration, in which tenant one holds the keys.
+// declare writes a newer declaration with the keys of tenant one, and waits until it is in force.
 func (fixture *fixture) declare(keys ...string) {
 	fixture.version++
 	version := fixture.version
@@ -190,7 +190,7 @@
 	})
 }
 
-// known returns what the proxy believes of a listed server.
+// listedServer returns a server from the proxy's list.
 func (fixture *fixture) known(instance string) (backend.Server, bool) {
 	for _, server := range fixture.process.set.Servers(time.Now()) {
 		if server.Instance == instance {
@@ -205,7 +205,7 @@
 	require.Eventually(fixture.t, condition, eventually, 5*time.Millisecond)
 }
 
-// answer is what the client got.
+// clientResult is what the client received.
 type answer struct {
 	status int
 	header http.Header
@@ -214,7 +214,7 @@
 	err    error
 }
 
-// send sends a request with the usual headers; change alters it.
+// send sends a request with the usual headers; change may modify it first.
 func (fixture *fixture) send(method, path, body string, change func(*http.Request)) answer {
 	request, err := http.NewRequest(method, fixture.front.URL+path, strings.NewReader(body))
 	require.NoError(fixture.t, err)
@@ -234,7 +234,7 @@
 	return answer{status: response.StatusCode, header: response.Header, closes: response.Close, body: string(data), err: err}
 }
 
-// prompt adds what a request tells of its prompt.
+// setPromptHeaders adds the headers that describe a prompt.
 func prompt(request *http.Request) {
 	request.Header.Set(standin.HeaderModel, model)
 	request.Header.Set(standin.HeaderTokenCount, "1460,80")
@@ -249,7 +249,7 @@
 	return standin.NewServer(instance, model, 1, manner)
 }
 
-// events is the text of a stream's events.
+// eventText returns the text of a stream's events with the ids 1 to last.
 func events(last int) string {
 	text := strings.Builder{}
 	for id := range last {
--- a/cmd/cloverrail/fleet_test.go
+++ b/cmd/cloverrail/fleet_test.go
@@ -13,19 +13,19 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// fleetFixture is a number of nodes before machines on which a deadly body ends the server that
-// runs it, if it comes from one tenant on one path.
+// fleetFixture runs nodes in front of machines on which a request with a crashing body, from one
+// tenant and on one path, crashes the server that runs it.
 type fleetFixture struct {
 	t            *testing.T
 	store        *standin.Store
 	storeAddress string
 	nodes        []*fixture
-	// living counts the nodes that were not killed.
+	// running counts the nodes that were not killed.
 	living   int
 	machines []*standin.Machine
 }
 
-// newFleet starts nodes and, for each of the two services, a number of machines.
+// newFleet starts nodes, and a number of machines for each of the two services.
 func newFleet(t *testing.T, nodes, machines int) *fleetFixture {
 	f := &fleetFixture{t: t}
 	f.store, f.storeAddress = newStore(t)
@@ -43,7 +43,7 @@
 	return f
 }
 
-// join starts one more node.
+// addNode starts one more node.
 func (f *fleetFixture) join() *fixture {
 	n := newNode(f.t, f.store, f.storeAddress, fmt.Sprint("node-", len(f.nodes)))
 	f.nodes = append(f.nodes, n)
@@ -51,8 +51,8 @@
 	return n
 }
 
-// await waits until a node is ready, as the platform does before it sends callers there, has its
-// place in the fleet and knows all servers.
+// awaitReady waits until a node is ready, as the platform does before it sends clients there, has
+// bootstrapped its rank in the fleet and knows all servers.
 func (f *fleetFixture) await(n *fixture) {
 	n.until(func() bool {
 		return n.process.proxy.Ready(boottime.Now()) && n.process.registry.Settled() &&
--- a/cmd/cloverrail/herd_test.go
+++ b/cmd/cloverrail/herd_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// herdWindow and herdMost bound what one node sends to a server that it only probes: so many
-	// requests within a window from the first one on.
+	// A node may send at most maxProbes requests within probeWindow of the first one to a server
+	// that it only probes.
 	herdWindow = 50 * time.Millisecond
 	herdMost   = 2
-	// burst is how many requests are placed at one moment.
+	// burstSize is the number of requests that are sent concurrently.
 	burst = 60
 )
 
-// slowly answers as a sound server once a window is over.
+// succeedsAfterWindow responds as a healthy server does, but only after probeWindow.
 func slowly(c call) standin.Manner {
 	return func(server *standin.Server, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(herdWindow + 10*time.Millisecond)
@@ -27,7 +27,8 @@
 	}
 }
 
-// togetherAfter returns how many arrivals a window holds from the first one after a moment on.
+// arrivalsInFirstWindow returns the number of arrivals within probeWindow of the first one at or
+// after start.
 func togetherAfter(server *standin.Server, moment time.Time) int {
 	first, together := time.Time{}, 0
 	for _, arrival := range server.Arrivals() {
@@ -44,8 +45,8 @@
 	return together
 }
 
-// Guards against a herd at the end of a server's backoff: requests that are placed at one moment
-// must not all see it unprobed.
+// Guards against a thundering herd at the end of a server's backoff: of requests that are placed
+// concurrently, only one may probe the server.
 func TestBackoffEndAdmitsOneProbe(t *testing.T) {
 	for name, c := range allCalls {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// Guards against a herd on a server that goes on to fail beside one that is sound again.
+// Guards against a thundering herd on a server that keeps failing while another has recovered.
 func TestServerThatFailsBesideASoundOneIsOnlyProbed(t *testing.T) {
 	for name, c := range map[string]call{"once": once, "again": again} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/cloverrail/limit_test.go
+++ b/cmd/cloverrail/limit_test.go
@@ -14,48 +14,40 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: two engines that had named a limit of 1 request a second in their answers got
-// 13 and 12 requests in 4 s from nodes that they had told.
-//
-// How: the engines were short of something and said so beside each answer. The nodes passed the
-// word on to callers and placed requests there as before; 4 of the 13 and 12 were the nodes' own
-// questions for cached parts.
-//
-// Cause: the word of a server was read for leaving and for rest alone. A limit of the whole fleet
-// had no place in what nodes believe, and the nodes' own calls to a server were counted nowhere.
-//
-// Proof: no line or counter told of a limit, the placements in the log fall short of what reached
-// the engines by the calls of the node that follows them, and the tests below, in which nothing
-// but that word tells of a server in need.
+// These tests guard against exceeding the rate limit that a server advertises in its responses.
+// Nodes used to forward that header to clients without applying it, and did not count their own
+// calls: two engines limited to 1 request per second got 13 and 12 requests in 4 s, of which 4
+// were the nodes' own polls of cache contents. In these tests, only the response header shows the
+// limit.
 
 const (
-	// limitWindow is the time in which requests are counted, and within it limitFactor times
-	// what a limit allows and limitSlack more may reach a server.
+	// limitWindow is the time window in which requests are counted. At most limitFactor times
+	// what the limit allows in it, plus limitSlack, may reach a server.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitUse is the part of a limit that must be used while far more is asked for.
+	// minUtilization is the fraction of a limit that must be used under overload.
 	limitUse = 0.6
 )
 
-// allows is the most that a limit allows in a window.
+// maxInWindow returns the most requests that a limit allows in a window.
 func allows(perSecond float64) int {
 	return int(limitFactor*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// pressed counts what became of requests.
+// loadResult counts the outcomes of requests.
 type pressed struct {
 	mutex           sync.Mutex
 	served, refused int
-	// reasons are the bodies of refusals, some of them.
+	// reasons holds the bodies of the first rejections.
 	reasons []string
 }
 
-// mostReasons bounds the reasons that are kept.
+// maxReasons bounds the reasons that are kept.
 const mostReasons = 3
 
-// press sends requests on a route to nodes, some hundred a second to each, for a time. All are
-// served, or refused at once as not run with a time to come back.
+// generateLoad sends requests on a route to nodes for a duration, some hundred per second to each.
+// All must be served, or rejected as not run with a Retry-After.
 func press(t *testing.T, c call, length time.Duration, nodes ...*fixture) *pressed {
 	counts := &pressed{}
 	var sent sync.WaitGroup
@@ -85,31 +77,31 @@
 		}
 		wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil || wait <= 0 {
-			t.Errorf("a refusal names no time to come back: %q", got.header.Get("Retry-After"))
+			t.Errorf("a rejection has no valid Retry-After: %q", got.header.Get("Retry-After"))
 		}
 	default:
 		t.Errorf("status %d, %v: %s", got.status, got.err, got.body)
 	}
 }
 
-// requireKept checks that a server got no more than its limit allows, since a time.
+// requireWithinLimit checks that a server got no more requests than its limit allows since a time.
 func requireKept(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
 	require.LessOrEqual(t, server.Most(limitWindow, since), allows(perSecond), "requests in %v at a limit of %v a second", limitWindow, perSecond)
 }
 
-// requireUsed checks that requests reached a server as often as it takes them, within a time
-// that began some seconds ago.
+// requireLimitUsed checks that a server got at least minUtilization of its limit since a time,
+// which should be some seconds ago.
 func requireUsed(t *testing.T, server *standin.Server, perSecond float64, since time.Time) {
 	t.Helper()
 	least := limitUse * perSecond * time.Since(since).Seconds()
 	require.GreaterOrEqual(t, float64(len(server.Reached(since))), least, "requests since %v at a limit of %v a second", time.Since(since), perSecond)
 }
 
-// open is a route that needs no key.
+// publicRoute is a route that requires no key.
 var open = call{method: http.MethodGet, path: "/open/"}
 
-// pressing is how long requests are sent once a limit must be kept.
+// loadDuration is how long requests are sent once a limit must be respected.
 const pressing = 2 * limitWindow
 
 func TestAServerThatNamesALimitIsKeptWithinIt(t *testing.T) {
@@ -121,12 +113,12 @@
 			needy.NameLimit("1")
 			named := time.Now()
 			counts := press(t, c, contact+pressing, fixture)
-			require.Zero(t, counts.refused, "the other server has room: %q", counts.reasons)
+			require.Zero(t, counts.refused, "the other server has capacity: %q", counts.reasons)
 			requireKept(t, needy, 1, named.Add(contact))
 		})
 	}
 	for _, perSecond := range []float64{0, 0.2, 1, 5, 40} {
-		t.Run(fmt.Sprintf("no other server is left, %v a second", perSecond), func(t *testing.T) {
+		t.Run(fmt.Sprintf("no other server is available, %v a second", perSecond), func(t *testing.T) {
 			t.Parallel()
 			needy := plainServer("i-1", soundly(once))
 			fixture := newFixture(t).serve(needy)
@@ -136,13 +128,13 @@
 			settled := time.Now()
 			took := time.Now()
 			counts := press(t, once, pressing, fixture)
-			require.Less(t, time.Since(took), pressing+time.Second, "what cannot be served is refused at once")
+			require.Less(t, time.Since(took), pressing+time.Second, "requests that cannot be served are rejected immediately")
 			require.NotZero(t, counts.refused)
 			requireKept(t, needy, perSecond, named.Add(contact))
 			requireUsed(t, needy, perSecond, settled)
 		})
 	}
-	t.Run("what fails elsewhere", func(t *testing.T) {
+	t.Run("requests that fail elsewhere", func(t *testing.T) {
 		t.Parallel()
 		needy, failing := plainServer("i-1", soundly(again)), plainServer("i-2", standin.Answers(http.StatusInternalServerError, "no"))
 		fixture := newFixture(t).serve(needy, failing)
@@ -166,8 +158,8 @@
 		}
 		requireKept(t, needy, 1, named.Add(contact))
 	})
-	t.Run("while cached parts are followed and weights are ordered", limitedOwnCalls)
-	t.Run("while the store is dark", func(t *testing.T) {
+	t.Run("while caches are watched and weights are ordered", limitedOwnCalls)
+	t.Run("while the store is down", func(t *testing.T) {
 		t.Parallel()
 		needy, other := plainServer("i-1", soundly(once)), plainServer("i-2", soundly(once))
 		fixture := newFixture(t).serve(needy, other)
@@ -181,9 +173,9 @@
 		requireKept(t, needy, 1, named.Add(contact))
 		require.NotZero(t, other.Most(limitWindow, named.Add(contact)), "routes without keys are served meanwhile")
 	})
-	t.Run("it falls, rises and ends", limitChanges)
+	t.Run("the limit decreases, increases and ends", limitChanges)
 	for _, absurd := range []string{"-1", "NaN", "few", "1,2", "1e300"} {
-		t.Run(fmt.Sprintf("an absurd limit %q", absurd), func(t *testing.T) {
+		t.Run(fmt.Sprintf("an invalid limit %q", absurd), func(t *testing.T) {
 			t.Parallel()
 			server := plainServer("i-1", soundly(once))
 			fixture := newFixture(t).serve(server)
@@ -194,7 +186,7 @@
 	}
 }
 
-// limitedOwnCalls checks that the node's own calls count.
+// ownCallsCountAgainstLimit checks that the node's own calls count against a server's limit.
 func limitedOwnCalls(t *testing.T) {
 	t.Parallel()
 	needy, other := engine("i-1", soundly(oneShot)), engine("i-2", soundly(oneShot))
@@ -210,11 +202,11 @@
 	fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
 	counts := press(t, oneShot, pressing, fixture)
 	requireKept(t, needy, 1, named.Add(contact))
-	require.Equal(t, int64(2), needy.Version(), "the weights are ordered all the same")
+	require.Equal(t, int64(2), needy.Version(), "weights are still ordered")
 	require.NotZero(t, counts.served)
 }
 
-// limitChanges checks that a limit is followed as it changes.
+// limitChangesAreFollowed checks that changes of a limit take effect.
 func limitChanges(t *testing.T) {
 	t.Parallel()
 	server := plainServer("i-1", soundly(once))
@@ -243,7 +235,7 @@
 }
 
 func TestAFleetKeepsAServerWithinItsLimit(t *testing.T) {
-	t.Run("others have room", func(t *testing.T) {
+	t.Run("other servers have capacity", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 3)
 		needy := fleet.machines[0].Lives()[0]
@@ -270,7 +262,7 @@
 			}
 		}
 	})
-	t.Run("one node has all the requests", func(t *testing.T) {
+	t.Run("one node gets all requests", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
 		needy := fleet.machines[0].Lives()[0]
@@ -283,7 +275,7 @@
 		requireKept(t, needy, 4, named.Add(contact))
 		requireUsed(t, needy, 4, settled)
 	})
-	t.Run("a node starts, one ends and one is cut off", func(t *testing.T) {
+	t.Run("a node starts, one stops and one is isolated", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
 		needy := fleet.machines[0].Lives()[0]
@@ -292,7 +284,7 @@
 		press(t, again, contact, fleet.nodes...)
 		started := fleet.join()
 		fleet.await(started)
-		// A node that starts is told by the server or by others, and keeps to it from then on.
+		// A starting node learns the limit from the server or from other nodes.
 		press(t, again, time.Second, fleet.nodes...)
 		since := time.Now()
 		fleet.nodes[0].kill()
--- a/cmd/cloverrail/notice_test.go
+++ b/cmd/cloverrail/notice_test.go
@@ -14,24 +14,16 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: a request reached a server 10.3 s after an answer of that server had told the
-// node that it leaves; and a server that had turned a node away and asked for 3 s of rest got
-// seven requests from it in that time.
-//
-// How: the store was dark while the server left, so that the list went on to call it ready. As
-// soon as the store was back, and requests with keys were served again, the node chose it as
-// any other. A server that was short of room was tried again every 100 ms.
-//
-// Cause: nodes believed of servers what the list says and what attempts come to. What a server
-// says of itself beside its answers was not read.
-//
-// Proof: the answer's head and the placement behind it stand in one log, and the tests below,
-// in which nothing but that word tells of a leaving or resting server.
+// These tests guard against ignoring the draining and Retry-After headers of servers' responses.
+// Nodes used only the store's list and the results of attempts. While the store was down, the list
+// still showed a draining server as ready, and a request reached it 10.3 s after its notice. A
+// server that asked for a backoff of 3 s was tried every 100 ms, and got seven requests in that
+// time. In these tests, only the response headers show the server's state.
 
-// call is a route of the fixture.
+// routeCall is a request on one of the fixture's routes.
 type call struct {
 	method, path string
-	// prompted says that engines serve it.
+	// prompted says that the route is served by engines and needs prompt headers.
 	prompted bool
 }
 
@@ -52,7 +44,7 @@
 	})
 }
 
-// makeMany sends requests on a route at once, and returns the answers.
+// makeMany sends requests on a route concurrently, and returns the results.
 func (fixture *fixture) makeMany(c call, number int) []answer {
 	answers := make([]answer, number)
 	var sent sync.WaitGroup
@@ -63,7 +55,7 @@
 	return answers
 }
 
-// instanceOf returns a server that serves a route.
+// newInstance returns a server that serves a route.
 func instanceOf(c call, name string, manner standin.Manner) *standin.Server {
 	if c.prompted {
 		return engine(name, manner)
@@ -71,7 +63,7 @@
 	return plainServer(name, manner)
 }
 
-// soundly is the manner in which a sound server treats a route's requests.
+// succeeds returns the behavior of a healthy server for a route.
 func soundly(c call) standin.Manner {
 	if c.prompted {
 		return standin.Streams(3, 0)
@@ -79,7 +71,7 @@
 	return standin.Answers(http.StatusOK, "done")
 }
 
-// darken lets the store answer nothing, or answer again.
+// setStoreDown makes the store unavailable, or available again.
 func (fixture *fixture) darken(dark bool) {
 	if !dark {
 		fixture.store.SetHarm(nil)
@@ -88,7 +80,7 @@
 	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Down })
 }
 
-// reach sends requests on a route until a server has got one more.
+// requestUntilReached sends requests on a route until a server has received one more.
 func (fixture *fixture) reach(c call, server *standin.Server) {
 	before := len(server.Arrivals())
 	fixture.until(func() bool {
@@ -97,7 +89,8 @@
 	})
 }
 
-// leaveNothing checks that requests reach a server no more, and are served if there is another.
+// requireNoneReached checks that requests do not reach a server, and that they are served if another
+// server is available or else rejected with a Retry-After.
 func (fixture *fixture) leaveNothing(c call, server *standin.Server, served bool) {
 	before := len(server.Arrivals())
 	for _, got := range fixture.makeMany(c, 40) {
@@ -109,7 +102,7 @@
 		require.Equal(fixture.t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(fixture.t, got.header.Get("Retry-After"))
 	}
-	require.Equal(fixture.t, before, len(server.Arrivals()), "a request reached a server after its word that it leaves")
+	require.Equal(fixture.t, before, len(server.Arrivals()), "a request reached a server after its draining notice")
 }
 
 func TestAServerThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
@@ -136,7 +129,7 @@
 			fixture.leaveNothing(c, leaver, true)
 		})
 	}
-	t.Run("no other server is left", func(t *testing.T) {
+	t.Run("no other server is available", func(t *testing.T) {
 		t.Parallel()
 		leaver := plainServer("i-1", soundly(once))
 		fixture := newFixture(t).serve(leaver)
@@ -144,7 +137,7 @@
 		fixture.reach(once, leaver)
 		fixture.leaveNothing(once, leaver, false)
 	})
-	t.Run("by an answer that broke off", func(t *testing.T) {
+	t.Run("by a truncated response", func(t *testing.T) {
 		t.Parallel()
 		leaver, other := engine("i-1", standin.Streams(3, 1)), engine("i-2", soundly(resumed))
 		fixture := newFixture(t).serve(leaver, other)
@@ -152,7 +145,7 @@
 		fixture.reach(resumed, leaver)
 		fixture.leaveNothing(resumed, leaver, true)
 	})
-	t.Run("by a stream that still runs", func(t *testing.T) {
+	t.Run("by a stream in progress", func(t *testing.T) {
 		t.Parallel()
 		leaver, other := engine("i-1", standin.Paced(40, 50*time.Millisecond, "token")), engine("i-2", soundly(resumed))
 		fixture := newFixture(t).serve(leaver, other)
@@ -187,12 +180,12 @@
 		orders := leaver.Orders()
 		fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
 		fixture.until(func() bool { return other.Version() == 2 })
-		require.Equal(t, orders, leaver.Orders(), "a leaving server is not ordered")
+		require.Equal(t, orders, leaver.Orders(), "a draining server gets no orders")
 	})
-	t.Run("by the word of another node", nodesTellEachOther)
+	t.Run("by the notice of another node", nodesTellEachOther)
 }
 
-// nodesTellEachOther checks that the word that one node has heard counts at all.
+// drainingNoticeReachesOtherNodes checks that a notice received by one node applies at all nodes.
 func nodesTellEachOther(t *testing.T) {
 	fleet := newFleet(t, 3, 2)
 	leaver := fleet.machines[0].Lives()[0]
@@ -204,15 +197,15 @@
 	}
 }
 
-// restGrace is how long after its answer requests may still reach a server that has asked for
-// rest, and restFew how many may reach it after that.
+// backoffGrace is how long requests may still reach a server after it has asked for a backoff;
+// maxDuringBackoff is the number of requests that may reach it later in the backoff.
 const (
 	restGrace = 500 * time.Millisecond
 	restFew   = 2
 )
 
-// inRest returns how many requests reached a server between the grace after the first refusal
-// and the end of the rest that it asked for.
+// arrivalsDuringBackoff returns how many requests reached a server between backoffGrace after the
+// first refusal and the end of the backoff that it asked for.
 func inRest(server *standin.Server, rest time.Duration) int {
 	arrivals := server.Arrivals()
 	count := 0
@@ -243,7 +236,7 @@
 			fixture.reach(c, tired)
 		})
 	}
-	t.Run("what fails elsewhere is not sent there", func(t *testing.T) {
+	t.Run("requests that fail elsewhere are not sent there", func(t *testing.T) {
 		t.Parallel()
 		tired, failing := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", standin.Dies)
 		fixture := newFixture(t).serve(tired, failing)
@@ -253,7 +246,7 @@
 		}
 		require.LessOrEqual(t, inRest(tired, rest), restFew)
 	})
-	t.Run("no other server is left", func(t *testing.T) {
+	t.Run("no other server is available", func(t *testing.T) {
 		t.Parallel()
 		tired := plainServer("i-1", standin.Rests(seconds))
 		fixture := newFixture(t).serve(tired)
@@ -265,13 +258,13 @@
 			wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
 			left := rest - time.Since(tired.Arrivals()[0].At)
-			require.GreaterOrEqual(t, wait, left.Seconds()-0.1, "before that nobody can serve it")
-			require.Less(t, time.Since(sent), rest/2, "it is refused at once")
+			require.GreaterOrEqual(t, wait, left.Seconds()-0.1, "no server can serve it earlier")
+			require.Less(t, time.Since(sent), rest/2, "it is rejected immediately")
 		}
 		require.LessOrEqual(t, inRest(tired, rest), restFew)
 		require.Zero(t, tired.Runs())
 	})
-	t.Run("while the store is dark", func(t *testing.T) {
+	t.Run("while the store is down", func(t *testing.T) {
 		t.Parallel()
 		tired, other := plainServer("i-1", standin.Rests(seconds)), plainServer("i-2", soundly(once))
 		fixture := newFixture(t).serve(tired, other)
@@ -285,9 +278,9 @@
 		}
 		require.LessOrEqual(t, inRest(tired, rest), restFew)
 	})
-	t.Run("after it, without a herd", usedAgainWithoutAHerd)
+	t.Run("its end brings no burst", usedAgainWithoutAHerd)
 	for _, absurd := range []string{"-1", "NaN", "soon", "", "1e300"} {
-		t.Run(fmt.Sprintf("an absurd rest %q", absurd), func(t *testing.T) {
+		t.Run(fmt.Sprintf("an invalid Retry-After %q", absurd), func(t *testing.T) {
 			t.Parallel()
 			tired, other := plainServer("i-1", standin.Rests(absurd)), plainServer("i-2", soundly(once))
 			fixture := newFixture(t).serve(tired, other)
@@ -305,8 +298,8 @@
 	}
 }
 
-// usedAgainWithoutAHerd checks that one request tries a server whose rest is over, and that it
-// serves as before soon after.
+// backoffEndsWithoutBurst checks that a single request probes a server at the end of its backoff,
+// and that the server is fully used again soon after.
 func usedAgainWithoutAHerd(t *testing.T) {
 	const rest = time.Second
 	tired := plainServer("i-1", standin.Rests("1"))
@@ -338,7 +331,7 @@
 		}
 	}
 	require.False(t, first.Before(ended.Add(-50*time.Millisecond)))
-	require.LessOrEqual(t, together, 2, "one request tries a server whose rest is over, before all that wait")
+	require.LessOrEqual(t, together, 2, "a server is probed at the end of its backoff before it gets the waiting requests")
 	fixture.until(func() bool {
 		for _, got := range fixture.makeMany(once, 8) {
 			if got.status != http.StatusOK {
--- a/cmd/cloverrail/notices.go
+++ b/cmd/cloverrail/notices.go
@@ -8,7 +8,7 @@
 	"github.com/cloverrail/cloverrail/platform"
 )
 
-// noticed takes what a server says of itself beside an answer.
+// handleNotice applies the server state reported in the headers of a response.
 func (process *process) noticed(heard platform.Heard) {
 	now := boottime.Now()
 	if heard.Notice.Limited || heard.Notice.Whole && process.limits.Active() {
@@ -21,7 +21,7 @@
 	process.recorder.Noticed(heard.Instance, heard.Notice, news, heard.Unreadable)
 }
 
-// noticedLimit takes that a server names a limit in its answer, or none.
+// handleRateLimit applies the rate limit that a server advertises in a response, or its absence.
 func (process *process) noticedLimit(heard platform.Heard, now time.Time) {
 	server, found := process.set.Known(heard.Instance)
 	switch {
@@ -35,7 +35,7 @@
 	}
 }
 
-// toldLimits logs what other nodes have heard of the limits of servers.
+// recordPeerLimits records the rate limits of servers that other nodes report.
 func (process *process) toldLimits(news []quota.Told) {
 	for _, told := range news {
 		if server, found := process.set.KnownBy(told.Is); found {
@@ -44,7 +44,8 @@
 	}
 }
 
-// called counts one of this node's own calls to the server at an address.
+// chargeOwnCall counts one of this node's own calls against the rate limit of the server at an
+// address.
 func (process *process) called(call, address string) {
 	process.recorder.Called(call)
 	if !process.limits.Active() {
@@ -55,7 +56,8 @@
 	}
 }
 
-// pace is the least time between two of the fleet's own questions to the server at an address.
+// minCallInterval returns the minimum time between two of the fleet's own calls to the server at
+// an address.
 func (process *process) pace(address string) time.Duration {
 	if !process.limits.Active() {
 		return 0
--- a/cmd/cloverrail/process.go
+++ b/cmd/cloverrail/process.go
@@ -33,29 +33,29 @@
 )
 
 const (
-	// leasePart is the life of the holder's lease as a part of the time between two
-	// holders.
+	// leaseFraction is the TTL of the leader's lease as a fraction of the handover delay between
+	// two leaders.
 	leasePart = 0.65
-	// turnPerRank spreads the tries to take a duty over: the first reader, which the
-	// relays follow, comes first.
+	// campaignDelayPerRank staggers leadership campaigns by rank, so that the first reader, which
+	// the relays poll, comes first.
 	turnPerRank = 50 * time.Millisecond
-	// lapseBeats is after how many heartbeats the entry of a server that has ended is gone
-	// for certain: three of silence, one that came just before its end, and one for the way
-	// of the list to this node.
+	// entryExpiryHeartbeats is the number of heartbeats after which the entry of a crashed server
+	// is certainly gone from this node's list: three missed ones, one sent just before the crash,
+	// and one for the list to reach this node.
 	lapseBeats = 5
-	// keepTurn is how long a node waits for each one of a better rank before it writes to
-	// the store what that one should have written: longer than a reading of it is old.
+	// writeDelayPerRank is how long a node waits, for each node of a better rank, before it writes
+	// a quarantine entry that such a node should have written. It exceeds the age of a store read.
 	keepTurn = time.Second
 
-	// followedLife is for how long after its last use an engine is asked for what it holds,
-	// where there are more than can be asked in time.
+	// engineIdleLimit is how long after its last use an engine's cache is watched if there are more
+	// engines than can be polled in time.
 	followedLife = 20 * time.Second
 
 	connectTimeout = 300 * time.Millisecond
 	silenceTimeout = 1500 * time.Millisecond
 )
 
-// process is the parts of a running proxy.
+// process holds the components of a running proxy.
 type process struct {
 	settings settings.Proxy
 	log      zerolog.Logger
@@ -78,9 +78,9 @@
 	work     *workshare.Board
 	// peers calls other nodes.
 	peers *http.Client
-	// quarantine writes requests that are held off into the store.
+	// quarantinePersister writes quarantined requests to the store.
 	quarantine *quarantine.Keeper
-	// reflector reads the store or follows a node that does.
+	// reflector reads the store, or polls a node that does.
 	reflector *reflector.Reflector
 	stopping  atomic.Bool
 }
@@ -167,7 +167,7 @@
 	return process, nil
 }
 
-// gauges adds to the metrics what this node knows, and how old that is.
+// registerGauges registers gauges for the size and age of what this node knows.
 func (process *process) gauges() {
 	process.metrics.Gauge("cloverrail_proxy_servers_known", "Servers in the list that this node has.", func() float64 {
 		servers, _ := process.feed.Servers(boottime.Now())
@@ -194,27 +194,27 @@
 	})
 }
 
-// reload reads the settings again. The level of the log takes effect at once; all
-// else is bound to sockets and duties, and takes effect at the next start.
+// reload reads the settings file again. Only the log level takes effect immediately; all other
+// settings are bound to sockets and background tasks and require a restart.
 func (process *process) reload(file string) {
 	given, err := settings.ReadProxy(file)
 	if err != nil {
-		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
+		process.log.Error().Err(err).Msg("failed to reload settings; keeping the current ones")
 		return
 	}
 	level, err := zerolog.ParseLevel(given.LogLevel)
 	if err != nil {
-		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
+		process.log.Error().Err(err).Msg("failed to reload settings; keeping the current ones")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
 	rest := given
 	rest.LogLevel = process.settings.LogLevel
 	changed := !reflect.DeepEqual(rest, process.settings)
-	process.log.Info().Str("log_level", given.LogLevel).Bool("takes_a_restart", changed).Msg("settings were read again")
+	process.log.Info().Str("log_level", given.LogLevel).Bool("takes_a_restart", changed).Msg("settings reloaded")
 }
 
-// resize follows the number of nodes in the fleet.
+// resize applies a new number of nodes in the fleet.
 func (process *process) resize(nodes int) {
 	process.recorder.Resized(nodes)
 	process.retries.Resize(nodes)
@@ -223,14 +223,14 @@
 	process.ledger.Resize(nodes)
 }
 
-// publish writes the view of the fleet for nodes that start.
+// publishView writes the fleet view that starting nodes bootstrap from.
 func (process *process) publish(ctx context.Context, view []byte) error {
 	err := process.source.WriteView(ctx, view)
 	process.recorder.Published(err)
 	return err
 }
 
-// distance is 0 within the zone, 1 within the region, and 2 beyond.
+// distance returns 0 within the zone, 1 within the region, and 2 beyond.
 func (process *process) distance(zone string) int {
 	zones := process.settings.Zones
 	switch {
@@ -247,7 +247,7 @@
 	return time.Duration(share * float64(whole))
 }
 
-// newReflector returns what keeps the node's beliefs current.
+// newReflector returns the reflector that keeps the node's replica of the store current.
 func (process *process) newReflector() *reflector.Reflector {
 	bounds := process.settings.Bounds
 	return &reflector.Reflector{
@@ -274,7 +274,7 @@
 	}
 }
 
-// newQuarantine returns what writes requests that are held off into the store.
+// newQuarantinePersister returns the writer of quarantined requests to the store.
 func (process *process) newQuarantine() *quarantine.Keeper {
 	return &quarantine.Keeper{
 		Store:    process.store.WithPurpose("quarantine"),
@@ -290,9 +290,9 @@
 	}
 }
 
-// unsure reports whether it is not certain that a server ended at a time: the fleet has not
-// had the time to hear what else ran there, it has answered what was sent later, or it stands
-// in the list though its entry would have lapsed.
+// crashUnconfirmed reports whether it is uncertain that a server crashed at a time: the fleet has
+// not yet learned what else ran there, the server has answered a request that was sent later, or
+// it is still listed although its entry would have expired.
 func (process *process) unsure(server uint64, at time.Time) bool {
 	heard := at.Add(proxy.SettleTime + process.reflector.TellTime())
 	lapsed := at.Add(lapseBeats * process.settings.Heartbeat)
@@ -300,8 +300,8 @@
 		process.set.Listed(server) && process.reflector.ListedSince(lapsed, at)
 }
 
-// followHolders starts following what those holders of cached parts have that are
-// this node's to ask. It hears of the others from the nodes that ask these.
+// watchHolders starts watching the cache holders that are assigned to this node. The other nodes
+// report the contents of the holders that they watch.
 func (process *process) followHolders(ctx context.Context) {
 	go residency.FollowAll(ctx, process.ownHolders, func(holder string) *residency.Follower {
 		follower := residency.NewFollower(holder, process.servers, process.ledger, process.recorder)
@@ -310,7 +310,7 @@
 	})
 }
 
-// peerHandler answers other nodes.
+// peerHandler returns the handler of requests from other nodes.
 func (process *process) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+reflector.PathServers, reflector.Handler(process.feed))
@@ -318,15 +318,15 @@
 	return mux
 }
 
-// ownHolders returns the addresses of the engines, and of the stores of kept KV
-// cache, that this node is to ask for what they have.
+// assignedHolders returns the addresses of the engines and prefix stores whose cache this node is
+// to watch.
 func (process *process) ownHolders() []string {
 	belief := process.belief.Load()
 	if belief == nil || belief.Snapshot == nil {
 		return nil
 	}
-	// The fleet asks all engines for what they hold, or of more than the relays can ask in
-	// time those that were used of late.
+	// The fleet watches all engines, or only the recently used ones if there are more than the
+	// relays can poll in time.
 	relays, now := process.registry.Relays(), boottime.Now()
 	most := residency.MostHolders * relays
 	asked := process.set.CountEngines(most, followedLife, now)
@@ -350,8 +350,8 @@
 	return addresses
 }
 
-// keep starts the duties that nodes share. The returned channel is closed when
-// they have been handed back after the context's end.
+// runBackgroundTasks starts registration, the quarantine writer and leader election. The returned
+// channel is closed once all of them have released their store entries after the context ends.
 func (process *process) keep(ctx context.Context) <-chan struct{} {
 	bounds := process.settings.Bounds
 	handedBack := sync.WaitGroup{}
--- a/cmd/cloverrail/proxy.go
+++ b/cmd/cloverrail/proxy.go
@@ -51,14 +51,14 @@
 func serve(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "address %s cannot be used; choose a free port", address)
+		return nil, errors.Annotatef(err, "cannot listen on address %s; choose a free port", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-// runProxy serves until it is told to stop, and then stops as planned.
+// runProxy serves until a stop signal arrives, and then shuts down gracefully.
 func runProxy(ctx context.Context, given settings.Proxy, file string) error {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(collectorPercent)
@@ -104,8 +104,8 @@
 	}
 	process.stopping.Store(true)
 	process.log.Info().Int("open", process.proxy.Open()).Msg("stopping")
-	// Duties go on while open requests are waited for: a change of their holder
-	// costs the fleet more than a late one.
+	// Background tasks continue while open requests drain: a change of leader is more expensive
+	// for the fleet than a late one.
 	process.proxy.Drain(ctx, given.Grace)
 	handBack()
 	ending, cancel := context.WithTimeout(ctx, shutdownTimeout)
--- a/cmd/cloverrail/proxy_bench_test.go
+++ b/cmd/cloverrail/proxy_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// BenchmarkStreamedRequest is the time and the allocations of one request whose answer is
-// a stream of 50 events, over sockets, with the caller and the engine in the same process.
+// BenchmarkStreamedRequest measures the time and allocations of one request whose response is
+// a stream of 50 events, over sockets, with the client and the engine in the same process.
 func BenchmarkStreamedRequest(b *testing.B) {
 	fixture := newFixture(b).serve(engine("i-1", standin.Streams(50, 0)))
 	b.ReportAllocs()
--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -57,7 +57,7 @@
 			for _, method := range []string{http.MethodPost, http.MethodGet} {
 				got := fixture.send(method, "/once/", "", nil)
 				require.Equal(t, http.StatusBadGateway, got.status)
-				require.Empty(t, got.header.Get("Retry-After"), "nothing is promised")
+				require.Empty(t, got.header.Get("Retry-After"), "it may have run, so no retry is suggested")
 				require.Empty(t, got.header.Get(standin.HeaderStamp))
 			}
 			require.Equal(t, 2, first.Runs()+second.Runs())
@@ -107,7 +107,7 @@
 		got := fixture.send(http.MethodPost, "/stream/", "prompt", prompt)
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status)
-		require.Equal(t, events(6), got.body, "no event twice, none missing")
+		require.Equal(t, events(6), got.body, "no event is duplicated or missing")
 	}
 }
 
@@ -204,8 +204,8 @@
 		}
 	}
 	require.Less(t, answered, 200)
-	require.Len(t, server.Arrivals(), answered, "what is refused does not reach a server")
-	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status, "other tenants are not concerned")
+	require.Len(t, server.Arrivals(), answered, "rejected requests do not reach a server")
+	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status, "other tenants are not affected")
 }
 
 func TestWhatOnlyTheSystemMaySetIsNotTakenFromCallers(t *testing.T) {
@@ -234,7 +234,7 @@
 		return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusServiceUnavailable
 	})
 	require.False(t, fixture.process.proxy.Ready(time.Now()))
-	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may exist by now")
+	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may have been declared since")
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/open/", "", nil).status)
 	fixture.store.SetHarm(nil)
 	fixture.until(func() bool { return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusOK })
@@ -247,7 +247,7 @@
 	fixture.store.Put(standin.KeyConfiguration, "not a document")
 	fixture.add(plainServer("i-2", standin.Answers(http.StatusOK, "done")))
 	fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == 2 })
-	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last good declaration stays")
+	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last valid declaration stays in force")
 }
 
 func TestALeavingServerGetsNothingNew(t *testing.T) {
@@ -369,12 +369,12 @@
 	arrivals := server.Arrivals()
 	salt := arrivals[len(arrivals)-1].Header.Get(standin.HeaderSalt)
 	shared := []residency.Piece{{Key: residency.NewKey(salt, "5c1e"), Tokens: 800}}
-	// Another incarnation's name: what this node sent does not count.
+	// Uses the name of another incarnation, for which this node has sent nothing that would count.
 	held := func() int { return fixture.process.ledger.Held(known.Address, "told", shared, time.Now()) }
 	fixture.until(func() bool { return held() == 800 })
 	fixture.store.NameVersion(model, 2)
 	fixture.until(func() bool { return held() == 0 })
 	for _, arrival := range server.Arrivals() {
-		require.NotContains(t, arrival.Target, "/api/", "a question is no request")
+		require.NotContains(t, arrival.Target, "/api/", "calls of the node itself do not count as requests")
 	}
 }
--- a/cmd/cloverrail/quarantine_test.go
+++ b/cmd/cloverrail/quarantine_test.go
@@ -22,32 +22,22 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The incident: a request ended three servers of a service and went on to be sent to
-// servers, 14 times more; 23 ended in all, and took with them all that they ran.
-//
-// How: its caller came again and again, at any node. Attempts were counted within one try
-// alone, and each try was a new request to every node, the one that had just seen a server
-// end under it included. Of servers a fleet believed much (which fail, which rest); of
-// requests, nothing.
-//
-// Cause: what a request has done was not remembered beyond the request and the node.
-//
-// Proof: lines of attempts that broke show one fingerprint, the same caller, method, host,
-// target and body, at each server's end, and the tests below, which send such a request to
-// the nodes in turn.
+// These tests guard against a request that crashes every server that runs it. Its client retries
+// at any node, and each retry used to be a new request without history: after three crashes one
+// such request was sent 14 more times and took down 23 servers in all, with everything they ran.
+// The retries share one fingerprint: client, method, host, target and body.
 
 const (
 	deadly = "deadly"
-	// contact is the time in which all nodes have heard what one of them knows.
+	// propagationTime is the time within which all nodes learn what one of them knows.
 	contact = 3 * time.Second
-	// enoughEnds servers that ended under a request are enough to hold it off, and
-	// fewMore tries may still reach a server after that and the time of contact.
+	// crashThreshold is the number of crashes after which a request is quarantined;
+	// maxLateAttempts may still reach a server more than propagationTime after that.
 	enoughEnds = 3
 	fewMore    = 3
 )
 
-// ends returns when runs of the deadly body began that ended a server, in order, and how
-// many arrivals of it there were.
+// crashTimes returns the start times of the runs of a body that crashed a server.
 func (f *fleetFixture) ends(body string) (begun []time.Time) {
 	for _, m := range f.machines {
 		for _, end := range m.Ends() {
@@ -59,13 +49,13 @@
 	return begun
 }
 
-// kinds are the kinds of route: what may run once, what may run again, a stream that may
-// be resumed and one that may not.
+// routeKinds holds the kinds of route with the change that their requests need: non-idempotent,
+// idempotent, resumable stream and plain stream.
 var kinds = map[string]func(*http.Request){"once": nil, "again": nil, "stream": prompt, "fixed": prompt}
 
-// comeAgain sends the deadly body to the nodes in turn until at least a number of tries
-// were made and a time has passed since servers enough have ended. It returns the last
-// answer, and how long that took.
+// retryUntilQuarantined sends a crashing body to the nodes in turn until a second more than
+// propagationTime has passed since the crash threshold was reached. It returns the last result and
+// how long that took.
 func (f *fleetFixture) comeAgain(kind, body string, nodes []*fixture) (last answer, took time.Duration) {
 	settled := time.Time{}
 	for try := 0; settled.IsZero() || time.Since(settled) < contact+time.Second; try++ {
@@ -75,13 +65,14 @@
 		if settled.IsZero() && len(f.ends(body)) >= enoughEnds {
 			settled = time.Now()
 		}
-		require.Less(f.t, try, 300, "the request never ended servers enough")
+		require.Less(f.t, try, 300, "the request never reached the crash threshold")
 		time.Sleep(100 * time.Millisecond)
 	}
 	return last, took
 }
 
-// requireHeldOff checks that hardly a try reached a server once all could know.
+// requireQuarantined checks that at most maxLateAttempts reached a server once all nodes could know
+// of the crashes.
 func (f *fleetFixture) requireHeldOff(body string) {
 	begun := f.ends(body)
 	slices.SortFunc(begun, time.Time.Compare)
@@ -92,11 +83,11 @@
 			late++
 		}
 	}
-	require.LessOrEqual(f.t, late, fewMore, "of %d servers that ended in all", len(begun))
+	require.LessOrEqual(f.t, late, fewMore, "of %d crashes in all", len(begun))
 }
 
-// requireNoMore sends the body to a node some times and checks that hardly a try reaches a
-// server, and that the last one is refused as not run.
+// requireRejected sends a body to a node repeatedly, and checks that at most maxLateAttempts reach a
+// server and that the last one is rejected as not run.
 func (f *fleetFixture) requireNoMore(n *fixture, kind, body string) {
 	before, last := len(f.ends(body)), answer{}
 	for range 3 * fewMore {
@@ -115,8 +106,8 @@
 	f.requireHeldOff(deadly)
 }
 
-// What a request has done outlives the nodes that saw it: one that starts later hears it
-// from others, and a fleet of which all nodes are replaced finds it in the store.
+// Guards against losing a quarantine with the nodes that saw the crashes: a node that starts later
+// learns it from its peers, and a fleet whose nodes are all replaced reads it from the store.
 func TestWhatARequestHasDoneOutlivesTheNodesThatSawIt(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
@@ -137,8 +128,8 @@
 	f.requireNoMore(f.nodes[len(f.nodes)-2], "fixed", deadly)
 }
 
-// A node that was cut off, and suspended besides, while the others found out hears it when
-// it is back.
+// Guards against a node that misses a quarantine because it was partitioned and suspended while
+// the others learned of it.
 func TestANodeThatWasCutOffAndSuspendedHearsWhatARequestHasDone(t *testing.T) {
 	machine, restore := suspension.Begin()
 	f := newFleet(t, 3, 8)
@@ -154,8 +145,8 @@
 	f.requireNoMore(f.nodes[0], "fixed", deadly)
 }
 
-// Requests that run beside the ends of servers are served in the end, and a popular one
-// that always runs beside some end is never held off.
+// Guards against quarantining bystanders: requests that run on a crashing server are served
+// eventually, and a popular one that is running at almost every crash is never quarantined.
 func TestWhatRunsBesideTheEndsOfServersIsServed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
@@ -170,7 +161,7 @@
 	for caller := range 6 {
 		callers.Go(func() {
 			for request := 0; ctx.Err() == nil; request++ {
-				// Half of them send one popular request, the others each time another.
+				// Half of the clients send one popular request, the others a new one each time.
 				body := "popular"
 				if caller%2 == 0 {
 					body = fmt.Sprintf("request %d of %d", request, caller)
@@ -180,7 +171,7 @@
 					got := f.nodes[(caller+try)%len(f.nodes)].send(http.MethodPost, "/fixed/x", body, prompt)
 					whole = got.err == nil && got.status == http.StatusOK
 					if !whole {
-						// Some longer than a refusal asks for.
+						// Slightly longer than the Retry-After of a rejection.
 						time.Sleep(200 * time.Millisecond)
 					}
 					if strings.Contains(got.body, string(failure.KindHeldOff)) {
@@ -201,22 +192,16 @@
 	}
 	stop()
 	callers.Wait()
-	require.Zero(t, wrongly.Load(), "held off, and harmless")
+	require.Zero(t, wrongly.Load(), "a harmless request was quarantined")
 	require.Zero(t, unserved.Load())
 	require.Greater(t, served.Load(), int64(50))
 }
 
-// The incident: a popular request, harmless, was refused as held off 180 times.
-//
-// How: it has the prompt of one that ends servers, so that both are sent to the engine which has
-// that prompt cached, time and again. Its answer takes longer than the engines last, so no whole
-// answer clears it, and by the time the one to blame is held off it has as many ends.
-//
-// Cause: the ends of servers are counted, and what always runs side by side has the same count.
-// Nothing was done to tell such requests apart; both were held off for ten minutes.
-//
-// Proof: the lines of attempts that broke show both fingerprints at each engine, and this test, in
-// which answers take long and nothing else is sent.
+// Guards against quarantining a long harmless request that shares its prompt with a crashing one.
+// Prompt affinity sends both to the same engine, and the harmless one never completes and clears
+// itself before the crash, so both reach the same crash count. Unless they are told apart, both
+// are quarantined for ten minutes; this once rejected a harmless request 180 times. Here responses
+// are long and no other requests are sent.
 func TestALongRequestThatRanBesideTheEndsOfServersIsServed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
@@ -247,12 +232,12 @@
 	f.requireHeldOff(deadly)
 	stop()
 	callers.Wait()
-	require.Zero(t, wrongly.Load(), "held off, and harmless")
+	require.Zero(t, wrongly.Load(), "a harmless request was quarantined")
 	require.NotZero(t, served.Load())
 }
 
-// That another instance answers at an engine's address is no sign of life of the one that was
-// asked, whatever weights either has.
+// Guards against taking a response from another instance at an engine's address, with the same or
+// other weights, as a sign that the requested instance is alive.
 func TestAnotherInstanceIsNoSignOfLife(t *testing.T) {
 	t.Parallel()
 	other := engine("i-other", standin.Streams(1, 0))
@@ -267,8 +252,8 @@
 	require.Zero(t, other.Runs())
 }
 
-// A server may be back at its address before anybody has settled whether it ended: that
-// another instance answers there is no sign of life of the one before.
+// Guards against missing a crash because the server is back at its address before the liveness
+// check: a response from the new instance is no sign that the previous one is alive.
 func TestServersThatAreBackAtOnceHaveEndedAllTheSame(t *testing.T) {
 	for _, kind := range []string{"once", "fixed"} {
 		t.Run(kind, func(t *testing.T) {
@@ -295,8 +280,8 @@
 	}
 }
 
-// A request that the store holds off and that is answered whole after all, since it was
-// under way, is cleared there too.
+// Guards against a stale quarantine in the store: a request that completes after all, because it
+// was already in flight, is cleared in the store too.
 func TestAClearedRequestLeavesTheStore(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 2, 4)
@@ -318,8 +303,8 @@
 	require.False(t, n.process.requests.Judge(fingerprint, n.process.unsure, time.Now()).Held)
 }
 
-// Connections may break while their servers live: a server that goes on to answer has not
-// ended, and a request that broke there is served as soon as that is known.
+// Guards against counting broken connections as crashes: a server that still responds has not
+// crashed, and the affected request is served as soon as that is known.
 func TestConnectionsThatBreakHoldOffNothingWhileServersLive(t *testing.T) {
 	t.Parallel()
 	breaks := atomic.Bool{}
@@ -346,7 +331,8 @@
 	fixture.until(func() bool { return len(fixture.store.Keys(platform.PrefixHeld)) == 0 })
 }
 
-// A server that leaves as planned ends what it still runs: that says nothing of the request.
+// Guards against counting a planned shutdown as a crash: a draining server aborts the requests that
+// it still runs.
 func TestTheEndOfALeavingServerCountsAgainstNothing(t *testing.T) {
 	t.Parallel()
 	server := plainServer("i-1", nil)
@@ -370,8 +356,8 @@
 	require.False(t, fixture.process.requests.Active())
 }
 
-// A request that ends the servers that run it is held off over the whole fleet, whatever
-// kind of route it takes, and its callers get a final answer at once that is true.
+// A request that crashes servers is quarantined fleet-wide on every kind of route, and its clients
+// immediately get a rejection that says that it did not run.
 func TestARequestThatEndsServersIsHeldOff(t *testing.T) {
 	for kind := range kinds {
 		t.Run(kind, func(t *testing.T) {
@@ -379,7 +365,7 @@
 			f := newFleet(t, 3, 8)
 			last, took := f.comeAgain(kind, deadly, f.nodes)
 			f.requireHeldOff(deadly)
-			require.Equal(t, http.StatusServiceUnavailable, last.status, "not run, and it says so")
+			require.Equal(t, http.StatusServiceUnavailable, last.status, "rejected as not run")
 			require.NotEmpty(t, last.header.Get("Retry-After"))
 			require.Less(t, took, time.Second)
 			others := sync.WaitGroup{}
--- a/cmd/cloverrail/born_test.go
+++ b/cmd/cloverrail/restart_test.go
@@ -12,13 +12,12 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// A server may start again under the id and the address that it had, within a heartbeat, so that
-// its entry never lapses. What was known of it is of the life before: that it leaves, that it
-// rests, what it holds, how many orders it has taken.
-//
-// The incarnation of a server was its id, on which all that hangs.
+// These tests guard against state of a server's previous incarnation being applied to the next
+// one. A server may restart with the same id and address within a heartbeat, so that its entry
+// never expires. Its draining notice, backoff, cache contents and order count were keyed by id
+// alone, and so outlived the restart.
 
-// lives is a place at which one server after the other serves.
+// restartableServer is an address at which successive incarnations of a server run.
 type lives struct {
 	fixture *fixture
 	address string
@@ -26,7 +25,7 @@
 	server  *standin.Server
 }
 
-// begin lets the next life serve under the same id at the same address, and write its entry.
+// start starts the next incarnation under the same id and address, and writes its entry.
 func (l *lives) begin(model string, version int64, manner standin.Manner) *standin.Server {
 	if l.serving != nil {
 		_ = l.serving.Close()
@@ -47,7 +46,7 @@
 	return l.server
 }
 
-// knows declares, and waits until the node knows a number of servers.
+// waitForServers writes a declaration, and waits until the node knows a number of servers.
 func (fixture *fixture) knows(servers int) {
 	fixture.declare(key)
 	fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == servers })
@@ -75,7 +74,7 @@
 			fixture.until(func() bool { return len(fixture.process.set.Servers(time.Now())) == 2 })
 		})
 	}
-	t.Run("orders to a server that has forgotten those before", func(t *testing.T) {
+	t.Run("orders to a server that has lost its order count", func(t *testing.T) {
 		t.Parallel()
 		fixture := newFixture(t)
 		place := &lives{fixture: fixture}
--- a/cmd/cloverrail/era_test.go
+++ b/cmd/cloverrail/store_restore_test.go
@@ -12,27 +12,22 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// The shared store comes back from a copy that is some seconds old: what nodes wrote since is
-// gone, their leases too, and revisions are given out again. What operators and servers wrote is
-// written again a little later.
-//
-// What hung on a store that loses nothing: the place in the list of servers (a revision that only
-// grows), the fencing token of who orders servers, the age of a duty's entry, a node's
-// registration, and which declaration is the newest.
-//
-// Proof: the store goes back behind a change of each of these, and each has to work again.
+// These tests guard against state that assumes that the store never loses a write. The store is
+// restored from a backup that is some seconds old: later writes and leases are lost, and revisions
+// are reused. The position in the server list, the leader's fencing token, the age of a leader
+// entry, a node's registration and the newest declaration each have to recover.
 
-// laterRevisions is by how many revisions the store goes back.
+// lostRevisions is the number of revisions that a restore of the store loses.
 const laterRevisions = 300
 
-// spend writes as much into the store as lies between a copy and the present.
+// writeRevisions makes the writes that a later restore loses.
 func spend(store *standin.Store) {
 	for i := range laterRevisions {
 		store.Put("op/unused", i)
 	}
 }
 
-// allServe checks that each node answers with a key at once, and refuses another one as unknown.
+// requireKeysApplied checks that each node serves a valid key and rejects a removed one.
 func (f *fleetFixture) allServe(valid, removed string) {
 	for _, n := range f.nodes {
 		with := func(key string) answer {
@@ -44,7 +39,7 @@
 	}
 }
 
-// until waits until something holds at all nodes.
+// waitUntil waits until a condition holds at all nodes.
 func (f *fleetFixture) until(holds func(n *fixture) bool) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -95,16 +90,16 @@
 		_, come := n.known("new-1")
 		return come && !gone
 	})
-	require.Less(t, time.Since(went), contact, "all nodes follow the list again")
+	require.Less(t, time.Since(went), contact, "all nodes have the current server list again")
 	fleet.allServe(key, removed)
 	fleet.store.NameVersion(model, 3)
 	named := time.Now()
 	fleet.until(loaded(3))
-	require.Less(t, time.Since(named), contact+time.Second, "orders go out again, under a token that servers take")
+	require.Less(t, time.Since(named), contact+time.Second, "orders are sent again, with a fencing token that servers accept")
 	fleet.store.Put(standin.KeyConfiguration, declared(4, key))
 	fleet.until(inForce(4))
 	for _, n := range fleet.nodes {
-		require.Equal(t, len(fleet.nodes), n.process.registry.Nodes(), "nobody is taken for lost whose registration the store has lost")
+		require.Equal(t, len(fleet.nodes), n.process.registry.Nodes(), "no node counts as dead because the store lost its registration")
 	}
 	fleet.until(func(*fixture) bool { return len(fleet.store.Keys(platform.PrefixNodes)) == len(fleet.nodes) })
 }
--- a/cmd/cloverrail/suspension_test.go
+++ b/cmd/cloverrail/suspension_test.go
@@ -12,22 +12,22 @@
 	"github.com/cloverrail/cloverrail/platform/standin"
 )
 
-// suspended starts a node before a server, and a machine for it that can be suspended.
+// newSuspendableFixture starts a node in front of servers, on a machine that can be suspended.
 func suspended(t *testing.T, servers ...*standin.Server) (*fixture, *suspension.Machine) {
 	machine, restore := suspension.Begin()
 	fixture := newFixture(t).serve(servers...)
-	// Before the node ends: its clock goes on until then.
+	// Cleanups run in reverse order: the clock is restored while the node still runs.
 	t.Cleanup(restore)
 	return fixture, machine
 }
 
-// silence lets the store answer nobody any more.
+// muteStore makes the store stop responding.
 func (fixture *fixture) silence() {
 	fixture.store.SetHarm(func(*http.Request) standin.Harm { return standin.Mute })
 }
 
-// While a node is suspended, its steady clock stands still: what it believes of keys would
-// be as young as before, and a key that was taken away meanwhile would still work.
+// Guards against a node that accepts a removed key after a suspension. The monotonic clock stops
+// while the machine is suspended, so the node's copy of the keys would still seem fresh.
 func TestANodeThatWasSuspendedDoesNotTrustWhatItBelievedOfKeys(t *testing.T) {
 	server := plainServer("i-1", standin.Answers(http.StatusOK, "done"))
 	fixture, machine := suspended(t, server)
@@ -38,14 +38,14 @@
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, 1, server.Runs())
-	require.False(t, fixture.process.proxy.Ready(boottime.Now()), "callers go to other nodes until it has read")
+	require.False(t, fixture.process.proxy.Ready(boottime.Now()), "clients go to other nodes until it has read the store")
 	fixture.store.SetHarm(nil)
 	fixture.until(func() bool { return fixture.process.proxy.Ready(boottime.Now()) })
 	require.Equal(t, http.StatusUnauthorized, fixture.send(http.MethodPost, "/once/", "turn", nil).status)
 }
 
-// A caller's deadline goes on in a suspension: what waits for a server is not sent to one
-// after it.
+// Guards against a retry after the client's deadline. The deadline also advances while the
+// machine is suspended.
 func TestARequestIsNotSentAfterADeadlineThatPassedInASuspension(t *testing.T) {
 	first, second := plainServer("i-1", nil), plainServer("i-2", nil)
 	fixture, machine := suspended(t, first, second)
@@ -57,6 +57,6 @@
 	}
 	got := fixture.send(http.MethodGet, "/again/", "", nil)
 	require.Equal(t, http.StatusBadGateway, got.status, "it may have run")
-	require.Equal(t, 1, first.Runs()+second.Runs(), "the caller's time is over")
-	require.False(t, fixture.process.requests.Active(), "a connection that broke in a suspension says nothing of the server")
+	require.Equal(t, 1, first.Runs()+second.Runs(), "the client's deadline has passed")
+	require.False(t, fixture.process.requests.Active(), "a connection that broke during a suspension is no sign of a crash")
 }
