--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,8 +7,7 @@
 	"github.com/cloverrail/cloverrail/internal/catalog"
 )
 
-// Metrics are the counters of one proxy. Keys, prompts and answers never stand
-// in labels.
+// Metrics holds the metrics of one proxy. Labels never contain keys, prompts or responses.
 type Metrics struct {
 	Registry        *prometheus.Registry
 	requests        *prometheus.CounterVec
@@ -37,19 +36,20 @@
 	suppressedLines prometheus.Counter
 }
 
-// firstAnswerBuckets reach from 5 ms to 10 s.
+// firstResponseBuckets range from 5 ms to 10 s.
 var firstAnswerBuckets = prometheus.ExponentialBuckets(0.005, 2, 12)
 
-// heardBuckets reach from an answer without news, some 200 bytes, to the whole list of a large
-// fleet.
+// peerResponseBuckets range from a response without changes, some 200 bytes, to the full server
+// list of a large fleet.
 var heardBuckets = prometheus.ExponentialBuckets(256, 4, 8)
 
-// Gauge adds a value that is asked for when the metrics are read.
+// Gauge registers a gauge whose value is computed when the metrics are scraped.
 func (metrics *Metrics) Gauge(name, help string, value func() float64) {
 	metrics.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// NewMetrics registers all metrics. Belief gives the age of the declaration.
+// NewMetrics creates and registers all metrics. The age of the declaration comes from
+// replica.
 func NewMetrics(belief *catalog.Holder) *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -24,14 +24,13 @@
 )
 
 const (
-	// linesPerSecond bounds the lines that concern requests; burstLines may come
-	// at once.
+	// linesPerSecond and lineBurst are the rate limit of lines about requests.
 	linesPerSecond = 200
 	burstLines     = 400
 )
 
-// Recorder writes one line for each decision that touches a request or changes
-// what the process believes, and counts it.
+// Recorder logs and counts each decision about a request and each change of the
+// process's state.
 type Recorder struct {
 	log     zerolog.Logger
 	metrics *Metrics
@@ -41,17 +40,17 @@
 	suppressed int
 	storeLost  bool
 	nodes      int
-	// words holds the words of servers that nobody here knows.
+	// unknownHeaders holds the unknown server headers that have been logged.
 	words map[string]bool
 }
 
-// NewRecorder returns a recorder.
+// NewRecorder returns a recorder that writes to log and metrics.
 func NewRecorder(log zerolog.Logger, metrics *Metrics) *Recorder {
 	return &Recorder{log: log, metrics: metrics, limiter: rate.NewLimiter(linesPerSecond, burstLines), words: map[string]bool{}}
 }
 
-// line returns an event for a line that concerns a request, or nil if there are
-// too many. The next line that is written tells how many were left out.
+// limitedLine returns an event for a line about a request, or nil if the rate limit is exceeded.
+// The next line that is written carries the number of suppressed ones.
 func (recorder *Recorder) line(level zerolog.Level) *zerolog.Event {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
@@ -68,12 +67,12 @@
 	return event
 }
 
-// eventName is the name of an event's type in logs and metrics.
+// eventName returns the name of an event's type in logs and metrics.
 func eventName(event exchange.Event) string {
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", event), "exchange."))
 }
 
-// Placed hears of each placement with what decided it.
+// Placed records a placement and the terms that decided it.
 func (recorder *Recorder) Placed(request *proxy.Request, choice proxy.Choice) {
 	chosen := choice.Chosen
 	if chosen.ReplacedLoss > 0 {
@@ -106,7 +105,7 @@
 	line.Msg("placed")
 }
 
-// Limited hears of a request beyond its tenant's limit.
+// RateLimited records a request that exceeds its tenant's limit.
 func (recorder *Recorder) Limited(request *proxy.Request, tenant string, limit quota.Limit, decision quota.Decision) {
 	recorder.metrics.limited.Inc()
 	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("tenant", tenant).Float64("limit", limit.PerSecond).
@@ -115,21 +114,21 @@
 		Dur("retry_after", decision.RetryAfter).Msg("limited")
 }
 
-// OverLimits hears of a request that no server takes for the limits that they name.
+// OverLimits records a request that no server accepts because of their advertised rate limits.
 func (recorder *Recorder) OverLimits(request *proxy.Request, over proxy.OverLimits) {
 	recorder.metrics.overLimits.WithLabelValues(over.Service).Inc()
 	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Str("service", over.Service).Int("servers", over.Servers).
 		Dur("shortest", over.Shortest).Dur("retry_after", over.RetryAfter).Msg("over the limits of servers")
 }
 
-// HeldOff hears of a request that is refused for the servers that ended under it.
+// RequestQuarantined records a request that is rejected because servers crashed while running it.
 func (recorder *Recorder) HeldOff(request *proxy.Request, fingerprint quarantine.Fingerprint, verdict quarantine.Verdict) {
 	recorder.metrics.heldOff.Inc()
 	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Int("ended", verdict.Ends).
 		Float64("weight", verdict.Weight).Bool("company", verdict.Company).Bool("stored", verdict.Stored).Dur("retry_after", boottime.Until(verdict.Until)).Msg("held off")
 }
 
-// Settled hears whether a server ended under a request.
+// SuspicionResolved records whether a server crashed while running a request.
 func (recorder *Recorder) Settled(suspicion proxy.Suspicion) {
 	outcome := "lives"
 	if suspicion.Ended {
@@ -140,29 +139,29 @@
 		Str("settled", outcome).Dur("after", suspicion.After).Msg("suspicion")
 }
 
-// Cleared hears of a request that was suspected and has had a whole answer.
+// SuspicionCleared records that a suspected request got a complete response.
 func (recorder *Recorder) Cleared(request *proxy.Request, fingerprint quarantine.Fingerprint) {
 	recorder.metrics.cleared.Inc()
 	recorder.line(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Msg("cleared")
 }
 
-// Kept hears of what is written of requests that are held off into the shared store.
+// QuarantinePersisted records a write of a request's quarantine state to the shared store.
 func (recorder *Recorder) Kept(fingerprint quarantine.Fingerprint, held bool, err error) {
-	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("the store is told of a request that is held off")
+	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("quarantine state written to the store")
 }
 
-// Noticed hears what a server says of itself beside an answer, what of it is news, and what
-// cannot be read.
+// NoticeReceived records the server state reported in response headers: all of it, what has
+// changed, and the error of a malformed header.
 func (recorder *Recorder) Noticed(server string, notice, news backend.Notice, unreadable error) {
 	if unreadable != nil {
 		recorder.metrics.notices.WithLabelValues("unreadable").Inc()
-		recorder.line(zerolog.WarnLevel).Str("server", server).Err(unreadable).Msg("a server's word of itself is passed over")
+		recorder.line(zerolog.WarnLevel).Str("server", server).Err(unreadable).Msg("ignored a malformed server header")
 	}
 	if notice.Leaving {
 		recorder.metrics.notices.WithLabelValues("leaving").Inc()
 	}
 	if news.Leaving {
-		recorder.line(zerolog.InfoLevel).Str("server", server).Msg("a server says that it leaves")
+		recorder.line(zerolog.InfoLevel).Str("server", server).Msg("server is draining")
 	}
 	if notice.Unknown != "" {
 		recorder.unknown(server, notice.Unknown)
@@ -172,14 +171,14 @@
 	}
 	if notice.Rest > 0 {
 		recorder.metrics.notices.WithLabelValues("rest").Inc()
-		recorder.line(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.Rest).Dur("rest", news.Rest).Msg("a server asks for rest")
+		recorder.line(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.Rest).Dur("rest", news.Rest).Msg("server asked for a backoff")
 	}
 }
 
-// mostWords bounds the words that nobody here knows of which there is a line, each once.
+// maxUnknownHeaders bounds the unknown server headers that are logged, once each.
 const mostWords = 32
 
-// unknown tells once of a word of servers that nobody here knows.
+// unknownHeader counts an unknown server header, and logs it the first time.
 func (recorder *Recorder) unknown(server, word string) {
 	recorder.metrics.notices.WithLabelValues("unknown").Inc()
 	recorder.mutex.Lock()
@@ -189,41 +188,42 @@
 	}
 	recorder.mutex.Unlock()
 	if !told {
-		recorder.log.Warn().Str("server", server).Str("word", word).Msg("servers say a word of themselves that this build does not know")
+		recorder.log.Warn().Str("server", server).Str("word", word).Msg("unknown server header")
 	}
 }
 
-// Called hears of each call that this node makes to servers on its own.
+// OwnCall records one of this node's own calls to a server.
 func (recorder *Recorder) Called(call string) {
 	recorder.metrics.serverCalls.WithLabelValues(call).Inc()
 }
 
-// LimitNamed hears how many requests a second a server takes of all nodes, if that is news.
+// RateLimitAdvertised records a new or changed rate limit of a server. The limit, in requests per
+// second, applies to all nodes together.
 func (recorder *Recorder) LimitNamed(server string, perSecond float64) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("a server names how much it takes")
+	recorder.line(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("server advertises a rate limit")
 }
 
-// LimitEnded hears that a server names no limit any more.
+// RateLimitLifted records that a server no longer advertises a rate limit.
 func (recorder *Recorder) LimitEnded(server string) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("a server names no limit any more")
+	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("server no longer advertises a rate limit")
 }
 
-// ToldLimit hears what another node has heard of a server's limit.
+// PeerRateLimit records a server's rate limit as reported by another node.
 func (recorder *Recorder) ToldLimit(server string, told quota.Told) {
 	line := recorder.line(zerolog.InfoLevel).Str("server", server)
 	if told.Ended {
-		line.Msg("another node says that a server names no limit any more")
+		line.Msg("peer reports that a server no longer advertises a rate limit")
 		return
 	}
-	line.Float64("limit", told.PerSecond).Msg("another node says how much a server takes")
+	line.Float64("limit", told.PerSecond).Msg("peer reports the rate limit of a server")
 }
 
-// ToldLeaving hears of a server that has said to another node that it leaves.
+// PeerDraining records a draining server as reported by another node.
 func (recorder *Recorder) ToldLeaving(server string) {
-	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("another node says that a server leaves")
+	recorder.line(zerolog.InfoLevel).Str("server", server).Msg("peer reports that a server is draining")
 }
 
-// costs writes the terms of a cost in milliseconds of engine time.
+// costDict returns the terms of a cost in milliseconds of engine time.
 func costs(terms []routing.Term) *zerolog.Event {
 	all := zerolog.Dict()
 	for _, term := range terms {
@@ -232,7 +232,7 @@
 	return all
 }
 
-// Connected hears for each request to a server whether its connection was kept.
+// ConnectionUsed records whether a request to a server reused a connection.
 func (recorder *Recorder) Connected(kept bool) {
 	kind := "new"
 	if kept {
@@ -241,15 +241,15 @@
 	recorder.metrics.connections.WithLabelValues(kind).Inc()
 }
 
-// Attempt hears of each event of an attempt. Those of the ordinary course are
-// told by the request's last line alone.
+// Attempt records an event of an attempt. Events of the normal course are not logged; the
+// request's final line covers them.
 func (recorder *Recorder) Attempt(request *proxy.Request, server string, event exchange.Event, fingerprint quarantine.Fingerprint) {
 	reason := ""
 	switch event := event.(type) {
 	case exchange.Arrived, exchange.Opened, exchange.Ended:
 		return
 	case exchange.Placed, exchange.Unplaced:
-		// A placement has its own line; the want of one is told at the end.
+		// A placement has its own line; a failed one is logged at the end of the request.
 		recorder.metrics.attempts.WithLabelValues(eventName(event)).Inc()
 		return
 	case exchange.Answered:
@@ -273,7 +273,7 @@
 	line.Dur("after", boottime.Since(request.Arrived)).Msg("attempt")
 }
 
-// Request hears of the end of a request.
+// Request records the end of a request.
 func (recorder *Recorder) Request(request *proxy.Request, route *catalog.Route, version int64, outcome exchange.Outcome) {
 	name, result := "", "answered"
 	if route != nil {
@@ -292,12 +292,12 @@
 		Dur("first", outcome.FirstAfter).Dur("took", boottime.Since(request.Arrived)).Msg("request")
 }
 
-// StoreCalled hears of each call of the shared store.
+// StoreCall records a call to the shared store.
 func (recorder *Recorder) StoreCalled(purpose, call string) {
 	recorder.metrics.storeCalls.WithLabelValues(purpose, call).Inc()
 }
 
-// Read hears of each reading of the shared store.
+// ReadDone records a read of the shared store. It logs only the start and the end of an outage.
 func (recorder *Recorder) Read(took time.Duration, err error) {
 	result := "ok"
 	if err != nil {
@@ -310,43 +310,43 @@
 	recorder.mutex.Unlock()
 	switch {
 	case changed && err != nil:
-		recorder.log.Warn().Dur("took", took).Err(err).Msg("the store cannot be read")
+		recorder.log.Warn().Dur("took", took).Err(err).Msg("store read failed")
 	case changed:
-		recorder.log.Info().Dur("took", took).Msg("the store can be read again")
+		recorder.log.Info().Dur("took", took).Msg("store is readable again")
 	}
 }
 
-// Heard hears of the size of another node's answer to a call.
+// OnResponse records the size of another node's response to a call.
 func (recorder *Recorder) Heard(call string, bytes int) {
 	recorder.metrics.heardBytes.WithLabelValues(call).Observe(float64(bytes))
 }
 
-// Follows hears which node this one asks, and why it left the one before.
+// UpstreamChanged records which node this one polls, and why it left the previous one.
 func (recorder *Recorder) Follows(node string, left error) {
 	recorder.metrics.follows.Inc()
-	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("another node is followed")
+	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("upstream node changed")
 }
 
-// Declared hears of a change of the belief.
+// ConfigurationChanged records a change of the node's replica of the declaration.
 func (recorder *Recorder) Declared(before, after *catalog.Belief) {
 	if after.Snapshot != nil && (before == nil || before.Snapshot != after.Snapshot) {
 		recorder.metrics.version.Set(float64(after.Snapshot.Version))
-		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("a declaration is in force")
+		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("declaration is in force")
 	}
 	for model, namings := range after.Weights {
 		newest := namings.Newest()
 		if before == nil || before.Weights[model].Newest() != newest {
-			recorder.log.Info().Str("model", model).Int64("version", newest).Msg("weights were named")
+			recorder.log.Info().Str("model", model).Int64("version", newest).Msg("new weights version released")
 		}
 	}
 }
 
-// mostChanges is how many changes of the list of servers have a line each. Those of more,
-// such as the first list that a node hears, are told in one line by their number: at 10,000
-// servers, a line each took a node longer to write than all else at its start.
+// maxChangeLines is the number of changes to the server list up to which each is logged by itself.
+// More, such as the first list that a node receives, are summarized in one line: at 10,000
+// servers, one line each took longer to write than the rest of a node's start.
 const mostChanges = 64
 
-// Listed hears of changes to the list of servers.
+// ServersChanged records changes to the server list.
 func (recorder *Recorder) Listed(changes []backend.Change) {
 	if len(changes) > mostChanges {
 		recorder.listedMany(changes)
@@ -355,7 +355,7 @@
 	for _, change := range changes {
 		server := change.Server
 		recorder.log.Info().Str("server", server.Instance).Str("service", server.Service).Str("address", server.Address).
-			Bool("draining", server.Draining).Bool("gone", change.Gone).Msg("a server changed")
+			Bool("draining", server.Draining).Bool("gone", change.Gone).Msg("server list entry changed")
 	}
 }
 
@@ -369,34 +369,34 @@
 			draining++
 		}
 	}
-	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", gone).Msg("many servers changed")
+	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", gone).Msg("many server list entries changed")
 }
 
-// Published hears that this node has written the view of the fleet for nodes that start, or
-// that this failed.
+// ViewPublished records that this node wrote, or failed to write, the fleet view that starting
+// nodes bootstrap from.
 func (recorder *Recorder) Published(err error) {
-	recorder.log.Info().Err(err).Msg("the view of the fleet is published")
+	recorder.log.Info().Err(err).Msg("fleet view written to the store")
 }
 
-// Resized hears of the number of nodes in the fleet.
+// FleetResized records the number of nodes in the fleet, and logs it if it has changed.
 func (recorder *Recorder) Resized(nodes int) {
 	recorder.mutex.Lock()
 	before := recorder.nodes
 	recorder.nodes = nodes
 	recorder.mutex.Unlock()
 	if before != nodes {
-		recorder.log.Info().Int("nodes", nodes).Int("before", before).Msg("the fleet changed")
+		recorder.log.Info().Int("nodes", nodes).Int("before", before).Msg("fleet size changed")
 	}
 }
 
-// Acquired hears that this node holds the duty of ordering.
+// Acquired records that this node has become the rollout leader.
 func (recorder *Recorder) Acquired(fence int64, settled time.Duration) {
-	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("this node orders servers to load weights")
+	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("acquired rollout leadership")
 }
 
-// Released hears that this node holds the duty no longer.
+// Released records that this node is no longer the rollout leader.
 func (recorder *Recorder) Released(fence int64, reason string) {
-	recorder.log.Info().Int64("fence", fence).Str("reason", reason).Msg("this node orders servers no longer")
+	recorder.log.Info().Int64("fence", fence).Str("reason", reason).Msg("released rollout leadership")
 }
 
 var orderResults = map[rollout.Result]string{
@@ -409,7 +409,7 @@
 	rollout.ResultUnreached: "unreached",
 }
 
-// Ordered hears of an order.
+// Ordered records an order to a server and its result.
 func (recorder *Recorder) Ordered(order rollout.Order, fence int64, result rollout.Result, err error) {
 	name := orderResults[result]
 	recorder.metrics.orders.WithLabelValues(name).Inc()
@@ -417,49 +417,49 @@
 		Int64("fence", fence).Int64("expected", order.Expected).Str("result", name).Err(err).Msg("order")
 }
 
-// Loaded hears that a server has the weights that it was ordered to load.
+// Loaded records that a server has loaded the weights that it was ordered to.
 func (recorder *Recorder) Loaded(loaded rollout.Loaded) {
 	recorder.log.Info().Str("server", loaded.Order.Server.Instance).Str("model", loaded.Order.Model).
-		Int64("version", loaded.Order.Version).Dur("took", loaded.Took).Msg("weights are loaded")
+		Int64("version", loaded.Order.Version).Dur("took", loaded.Took).Msg("server loaded weights")
 }
 
-// Unfollowed hears that a holder of cached parts cannot be followed.
+// WatchLost records that the cache of a holder cannot be watched any more.
 func (recorder *Recorder) Unfollowed(holder string, err error) {
-	recorder.log.Warn().Str("holder", holder).Err(err).Msg("cached parts cannot be followed")
+	recorder.log.Warn().Str("holder", holder).Err(err).Msg("cache watch failed")
 }
 
-// Followed hears that a holder of cached parts is followed.
+// WatchStarted records that the cache of a holder is being watched.
 func (recorder *Recorder) Followed(holder string) {
-	recorder.log.Info().Str("holder", holder).Msg("cached parts are followed")
+	recorder.log.Info().Str("holder", holder).Msg("cache watch started")
 }
 
-// Garbled hears of news of cached parts that cannot be read.
+// CacheUpdatesRejected records malformed cache updates from another node.
 func (recorder *Recorder) Garbled(node string, err error) {
 	recorder.metrics.garbled.Inc()
-	recorder.log.Warn().Str("from", node).Err(err).Msg("news of cached parts are dropped")
+	recorder.log.Warn().Str("from", node).Err(err).Msg("dropped malformed cache updates")
 }
 
-// WentBack hears that the shared store has come back from an older copy.
+// StoreRestored records that the shared store was restored from an older copy.
 func (recorder *Recorder) WentBack(before, after int64) {
 	recorder.metrics.wentBack.Inc()
-	recorder.log.Warn().Int64("before", before).Int64("era", after).Msg("the store has gone back")
+	recorder.log.Warn().Int64("before", before).Int64("era", after).Msg("store was restored from an older copy")
 }
 
-// EraIgnored hears of what an answer of the store, or a node, tells of its era and is passed over.
+// EraIgnored records an invalid or outdated store era in a response of the store or of a node.
 func (recorder *Recorder) EraIgnored(told string, current int64) {
-	recorder.line(zerolog.WarnLevel).Str("told", told).Int64("era", current).Msg("an era of the store is passed over")
+	recorder.line(zerolog.WarnLevel).Str("told", told).Int64("era", current).Msg("ignored a store era")
 }
 
-// Unreadable hears of an entry of the store that is skipped.
+// EntryUnreadable records a store entry that was skipped.
 func (recorder *Recorder) Unreadable(key string, at coordination.Position, err error) {
 	recorder.metrics.unreadable.WithLabelValues(reasonOf(err)).Inc()
-	recorder.line(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("an entry cannot be read and is skipped")
+	recorder.line(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("skipped an unreadable store entry")
 }
 
-// reasoned is an error that names a reason for metrics.
+// reasonedError is an error with a reason for metrics.
 type reasoned interface{ Kind() string }
 
-// reasonOf returns a short word for why an entry cannot be read.
+// metricReason returns the metrics label for why an entry cannot be read.
 func reasonOf(err error) string {
 	var known reasoned
 	if errors.As(err, &known) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -19,9 +19,9 @@
 	"github.com/cloverrail/cloverrail/internal/proxy"
 )
 
-var errLost = errors.New("no answer")
+var errLost = errors.New("no response")
 
-// stuck is a standard output that nobody reads.
+// blocked is an output whose writes block until released is closed.
 type stuck struct{ freed chan struct{} }
 
 func (stuck stuck) Write(data []byte) (int, error) {
@@ -40,7 +40,7 @@
 	require.Positive(t, writer.Dropped())
 }
 
-// page is an output that can be read while it is written.
+// logBuffer is an output that is safe for concurrent use.
 type page struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -68,8 +68,8 @@
 	require.Equal(t, []string{"a", "b", "c"}, page.lines())
 }
 
-// Two tries of a request have ids of their own; what tells that they are the same stands on
-// the line of each attempt that broke.
+// Retries of a request have different ids; the fingerprint on the lines of broken attempts shows
+// that they are the same request.
 func TestABrokenAttemptTellsWhichTriesAreTheSameRequest(t *testing.T) {
 	page := &page{}
 	recorder := NewRecorder(zerolog.New(page), NewMetrics(&catalog.Holder{}))
@@ -90,7 +90,7 @@
 	for range 10 * burstLines {
 		recorder.Request(request, nil, 1, exchange.Outcome{})
 	}
-	// What is left out since the last line is told by the next one, and may be none just now.
+	// Suppressed lines are reported by the next line that is written, which may not exist yet.
 	require.Less(t, len(page.lines()), 2*burstLines)
 	left := testutil.ToFloat64(recorder.metrics.suppressedLines)
 	require.Equal(t, 10*burstLines, len(page.lines())+int(left), "each line is written or counted")
@@ -110,21 +110,21 @@
 	require.Len(t, page.lines(), 2)
 }
 
-// The first list of a large fleet takes one line, few changes one each.
+// The first server list of a large fleet is logged in one line, a few changes in one line each.
 func TestTheLinesOfAListAreBounded(t *testing.T) {
 	written := &bytes.Buffer{}
 	recorder := NewRecorder(zerolog.New(written), NewMetrics(&catalog.Holder{}))
 	changes := make([]backend.Change, 10_000)
 	changes[3].Gone, changes[4].Server.Draining = true, true
 	recorder.Listed(changes)
-	require.JSONEq(t, `{"level":"info","changes":10000,"draining":1,"gone":1,"message":"many servers changed"}`, written.String())
+	require.JSONEq(t, `{"level":"info","changes":10000,"draining":1,"gone":1,"message":"many server list entries changed"}`, written.String())
 	written.Reset()
 	recorder.Listed(changes[:mostChanges])
-	require.Equal(t, mostChanges, bytes.Count(written.Bytes(), []byte("a server changed")))
+	require.Equal(t, mostChanges, bytes.Count(written.Bytes(), []byte("server list entry changed")))
 }
 
-// Words that nobody here knows are counted, and told once each; there is no end of lines for a
-// server that makes them up.
+// Unknown headers are counted, and logged once each up to a bound, so that a server with arbitrary
+// headers cannot flood the log.
 func TestAWordThatNobodyKnowsIsToldOnce(t *testing.T) {
 	output := &page{}
 	metrics := NewMetrics(&catalog.Holder{})
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -1,6 +1,6 @@
-// Package telemetry tells what a proxy decides: structured log lines and
-// metrics. It never blocks the path of a request: lines that cannot be written
-// in time are dropped and counted.
+// Package telemetry records what a proxy decides, in structured log lines and
+// metrics. It never blocks a request: lines that cannot be written in time are
+// dropped and counted.
 package telemetry
 
 import (
@@ -11,28 +11,27 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written.
+	// maxQueuedLines bounds the lines that wait to be written.
 	queuedLines = 1024
-	// flushInterval is how long a line waits for others, since each write costs a
-	// system call.
+	// flushInterval is how long lines are batched, since each write costs a system call.
 	flushInterval = 50 * time.Millisecond
 	flushBytes    = 32 << 10
 )
 
-// Writer passes lines on to a slow writer without ever waiting for it.
+// Writer buffers lines for a slow writer and never blocks on it.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer in front of target.
+// NewWriter returns a Writer that writes to target.
 func NewWriter(target io.Writer) *Writer {
 	writer := &Writer{lines: make(chan []byte, queuedLines)}
 	go writer.drain(target)
 	return writer
 }
 
-// Write queues one line, or drops it if too many wait.
+// Write queues one line, or drops it if the queue is full.
 func (writer *Writer) Write(line []byte) (int, error) {
 	select {
 	case writer.lines <- bytes.Clone(line):
@@ -56,7 +55,7 @@
 	}
 }
 
-// gather adds the lines that wait already.
+// appendQueued appends the lines that are already queued, up to flushBytes.
 func (writer *Writer) gather(buffer *bytes.Buffer) {
 	for buffer.Len() < flushBytes {
 		select {
