--- a/internal/keepalive/client.go
+++ b/internal/keepalive/client.go
@@ -1,10 +1,10 @@
-// Package keepalive sends HTTP requests on connections that are kept open between
-// requests, without ever sending one again of which a byte may have left.
+// Package keepalive sends HTTP requests on persistent connections, and never
+// resends a request of which a byte may have been sent.
 //
-// A server closes a connection that has rested for a time, maybe at the very
-// moment in which the next request is written: then nobody can tell whether it
-// ran. So the client learns each server's time, uses a connection only well
-// inside it, and closes what has rested longer.
+// A server closes a connection that has been idle for some time, possibly just as
+// the next request is written; then it is unknown whether the request ran. The
+// client therefore learns each server's idle timeout, reuses a connection only well
+// within it, and closes connections that have been idle for longer.
 package keepalive
 
 import (
@@ -21,34 +21,34 @@
 )
 
 const (
-	// idlePerServer is how many resting connections one server may have from here.
+	// maxIdlePerServer bounds the idle connections to one server.
 	idlePerServer = 4
-	// crossing is kept free at the end of a server's time for the request's way
-	// to it.
+	// transitMargin is left before the end of a server's idle timeout for the request to reach the
+	// server.
 	crossing = 200 * time.Millisecond
-	// onceShare is the share of a server's time after which a connection is not
-	// used any more for what must not run twice.
+	// onceFraction is the fraction of a server's idle timeout after which a connection is no longer
+	// reused for requests that must not run twice.
 	onceShare = 0.6
-	// mostServers bounds the servers that are remembered. Above it, all are forgotten.
+	// maxServers bounds the servers that are remembered. When it is reached, all are forgotten.
 	mostServers = 8192
-	// maximumTries bounds the connections that are tried for one request.
+	// maxAttempts bounds the connections that are tried for one request.
 	maximumTries = idlePerServer + 2
 )
 
-// ErrUnsent says that a connection failed before a byte of the request had left.
+// ErrUnsent reports that a connection failed before any byte of the request was sent.
 var ErrUnsent = errors.New("no byte of the request was sent")
 
-// Options are the parts of a client.
+// Options configures a Client.
 type Options struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// BufferSize is that of a connection's reader and of its writer, in bytes.
+	// BufferSize is the size of each connection's read and write buffers in bytes.
 	BufferSize int
-	// Used, if set, hears for each request whether its connection was kept. It must
-	// not block.
+	// OnConnection, if set, is called for each request with whether it reused a connection. It
+	// must not block.
 	Used func(kept bool)
 }
 
-// Client sends requests. It is safe for concurrent use.
+// Client sends requests on persistent connections. It is safe for concurrent use.
 type Client struct {
 	used   func(kept bool)
 	client *http.Client
@@ -80,12 +80,11 @@
 	return c
 }
 
-// Do sends the request that build returns. Build is called again if a connection
-// turned out to be closed before a byte of the request had left; the library must
-// not send a request again by itself, so its body must not be one that can be read
-// twice. Once says that the request must not run twice.
+// Do sends the request that build returns. It calls build again if a connection turned out to be
+// closed before any byte of the request was sent. The body must not be replayable, so that
+// net/http does not resend a request by itself. Once says that the request must not run twice.
 //
-// An error that is ErrUnsent, or that of a dial, promises that nothing was sent.
+// ErrUnsent and dial errors guarantee that nothing was sent.
 func (c *Client) Do(build func() *http.Request, once bool) (*http.Response, error) {
 	for try := 1; ; try++ {
 		request := build()
@@ -104,8 +103,8 @@
 	}
 }
 
-// replayable reports whether the library would send the request again by itself
-// if a kept connection broke under it.
+// replayable reports whether net/http would resend the request by itself if a reused connection
+// failed.
 func replayable(request *http.Request) bool {
 	if request.Body != nil && request.Body != http.NoBody {
 		return request.GetBody != nil
@@ -122,7 +121,7 @@
 	client  *Client
 	address string
 	once    bool
-	// fresh says that only a new connection will do.
+	// needsNew says that the request must not reuse a connection.
 	fresh bool
 
 	mutex  sync.Mutex
@@ -144,7 +143,7 @@
 	u.conn, u.number = taken, number
 }
 
-// end hears that the connection rests now, or that it was given up.
+// finish marks the connection as idle, unless err says that it was not returned to the pool.
 func (u *use) end(err error) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -153,14 +152,14 @@
 	}
 }
 
-// unsent reports whether a connection was there and no byte has left on it.
+// unsent reports whether the request got a connection and no byte was sent on it.
 func (u *use) unsent() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return u.conn != nil && u.conn.unsent()
 }
 
-// life returns what is known of a server.
+// timeoutOf returns the estimator of a server's idle timeout. The caller holds the mutex.
 func (c *Client) life(address string) *Life {
 	known := c.lives[address]
 	if known == nil {
@@ -173,7 +172,7 @@
 	return known
 }
 
-// limit is how long a connection may have rested to be used.
+// maxIdle returns how long a connection may have been idle to be reused.
 func (c *Client) limit(address string, once bool) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -10,32 +10,31 @@
 	"github.com/cloverrail/cloverrail/internal/boottime"
 )
 
-// errRested says that a kept connection has rested for too long to be used: its
-// server may be closing it just now.
-var errRested = errors.New("the kept connection has rested for too long")
+// errIdleTooLong reports that a connection has been idle for too long to be reused: the server
+// may be closing it.
+var errRested = errors.New("connection was idle for too long")
 
-// conn is a connection to a server that knows how long it has rested.
+// conn is a connection to a server that tracks how long it has been idle.
 type conn struct {
 	net.Conn
-	// closed hears of a connection that the server closed while it rested.
+	// serverClosed is called if the server closes the connection while it is idle.
 	closed func(rested time.Duration)
 
 	mutex sync.Mutex
-	// uses counts the requests that the connection was taken for.
+	// uses counts the requests that used the connection.
 	uses int
-	// restsSince is zero while a request is under way.
+	// idleSince is zero while a request is in flight.
 	restsSince time.Time
 	expiry     *time.Timer
 	expired    bool
-	// refused says that the request under way must not be written.
+	// refused says that the current request must not be written.
 	refused bool
-	// written says that bytes of the request under way may have left.
+	// written says that bytes of the current request may have been sent.
 	written bool
 }
 
-// begin takes the connection for a request, which may be written unless it is
-// refused or the connection has rested for longer than the limit. It returns the
-// number of the use.
+// acquire takes the connection for a request. Its writes fail if refused is set or if the
+// connection was idle for longer than the limit. It returns the number of the use.
 func (c *conn) begin(limit time.Duration, refused bool) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -49,8 +48,8 @@
 	return c.uses
 }
 
-// rest says that a use is over, and closes the connection after a time without
-// another. The next use may have begun already: then it does nothing.
+// release marks the connection as idle after a use, and closes it if it stays idle for the given
+// time. It does nothing if the next use has already begun.
 func (c *conn) rest(use int, life time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,27 +70,27 @@
 	}
 }
 
-// unsent reports whether no byte of the request under way has left.
+// unsent reports whether no byte of the current request was sent.
 func (c *conn) unsent() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.written
 }
 
-// Write writes to the connection, unless it has rested for too long.
+// Write writes to the connection, unless the current request was refused.
 func (c *conn) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	if c.refused {
 		c.mutex.Unlock()
 		return 0, errRested
 	}
-	// Even a write that fails may have sent something.
+	// Even a failed write may have sent some bytes.
 	c.written = true
 	c.mutex.Unlock()
 	return c.Conn.Write(data)
 }
 
-// Close closes the connection, and tells if that is the server's doing.
+// Close closes the connection, and calls serverClosed if the server closed it while idle.
 func (c *conn) Close() error {
 	c.mutex.Lock()
 	since, expired := c.restsSince, c.expired
--- a/internal/keepalive/life.go
+++ b/internal/keepalive/idle_timeout.go
@@ -8,44 +8,42 @@
 )
 
 const (
-	// assumedLife is how long a server is taken to keep an idle connection open
-	// before it has said so.
+	// defaultIdleTimeout is assumed for a server that has not advertised an idle timeout.
 	assumedLife = time.Second
-	// longestLife bounds what a server's word is taken for.
+	// maxIdleTimeout bounds advertised idle timeouts.
 	longestLife = time.Minute
-	// enoughClosings is how many idle connections a server must have closed for
-	// these to count: fewer may be those of a crash.
+	// minClosings is the number of idle connections that a server must have closed for them to
+	// count: fewer may be due to a crash.
 	enoughClosings = 3
-	// mostClosings bounds the closings that are remembered, and closingLife is for
-	// how long one counts.
+	// maxClosings bounds the closings that are remembered; closingTTL is how long each counts.
 	mostClosings = 9
 	closingLife  = 30 * time.Second
 )
 
-// closing is an idle connection that the server closed, and how long it had rested.
+// closing records an idle connection that the server closed, and how long it had been idle.
 type closing struct {
 	at     time.Time
 	rested time.Duration
 }
 
-// Life estimates how long a server keeps an idle connection open: as long as it
-// says, or less if it closes them earlier. The zero value knows nothing.
+// IdleTimeout estimates how long a server keeps an idle connection open: as long as it advertises,
+// or less if it closes connections earlier. The zero value has no observations.
 type Life struct {
 	told     time.Duration
 	closings []closing
 }
 
-// Told takes the server's own word.
+// SetAdvertised sets the idle timeout that the server advertises.
 func (l *Life) Told(life time.Duration) { l.told = min(life, longestLife) }
 
-// Closed takes that the server closed a connection that had rested for a time.
+// ObserveClose records that the server closed a connection after an idle time.
 func (l *Life) Closed(rested time.Duration, now time.Time) {
 	l.closings = append(l.closings, closing{at: now, rested: rested})
 	l.closings = l.closings[max(0, len(l.closings)-mostClosings):]
 }
 
-// At returns the estimate. It is the median of the closings of late, which those
-// that a crash brought do not move as long as they are the fewer.
+// Estimate returns the estimated idle timeout. Of the recent closings it uses the median, which
+// closings due to a crash do not affect as long as they are the minority.
 func (l *Life) At(now time.Time) time.Duration {
 	life := assumedLife
 	if l.told > 0 {
@@ -64,8 +62,8 @@
 	return min(life, rests[len(rests)/2])
 }
 
-// ToldLife reads how long a server says that it keeps idle connections, from the
-// value of the header Keep-Alive; 0 if it does not say.
+// ParseKeepAlive returns the idle timeout in the value of a Keep-Alive header, or 0 if there is
+// none.
 func ToldLife(header string) time.Duration {
 	for parameter := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -21,17 +21,16 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// server serves connections over pipes. It closes one that has rested for its
-// idle life, and breaks some off.
+// server serves connections over pipes. It closes idle ones after its idle timeout, and aborts
+// some.
 type server struct {
 	idle   time.Duration
 	header string
-	// breaks says for each request in turn whether its connection ends before the
-	// answer.
+	// fails reports for each request in turn whether its connection is closed before the response.
 	breaks func() bool
 
 	mutex sync.Mutex
-	// got counts the requests of each id.
+	// requests counts the requests by id.
 	got map[string]int
 	// dials counts the connections.
 	dials int
@@ -76,7 +75,7 @@
 	return s.breaks != nil && s.breaks()
 }
 
-// send sends one request, reads its answer, and reports how it ended.
+// send sends one request and reads its response.
 func send(c *Client, method, id, body string, header http.Header, once bool) error {
 	response, err := c.Do(func() *http.Request {
 		request := &http.Request{
@@ -99,7 +98,7 @@
 	}
 	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
-	// The connection comes to rest after the body's end.
+	// The connection becomes idle after the end of the body.
 	synctest.Wait()
 	return err
 }
@@ -151,7 +150,7 @@
 			require.NoError(t, send(c, http.MethodPost, fmt.Sprint(i), "b", nil, false))
 		}
 		require.Equal(t, []bool{false, true, true, false, true}, kept)
-		// What must not run twice wants more of the time to be left.
+		// A request that must not run twice requires a larger margin.
 		time.Sleep(2500 * time.Millisecond)
 		require.NoError(t, send(c, http.MethodPost, "once", "b", nil, true))
 		require.Equal(t, 3, s.dials)
@@ -182,7 +181,7 @@
 		l.Told(told)
 		require.Equal(t, told, l.At(now))
 		l.Closed(time.Millisecond, now)
-		require.Equal(t, told, l.At(now), "one closing says nothing")
+		require.Equal(t, told, l.At(now), "a single closing does not count")
 		for range mostClosings {
 			now = now.Add(time.Second)
 			l.Closed(truth, now)
