--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -22,7 +22,7 @@
 func outputFlag() cli.Flag {
 	return &cli.StringFlag{Name: "output", Value: "table", Usage: "`FORMAT`: table or json", Validator: func(format string) error {
 		if format != "table" && format != "json" {
-			return errors.Errorf("%q is not a format; use table or json", format)
+			return errors.Errorf("unknown format %q; use table or json", format)
 		}
 		return nil
 	}}
@@ -36,7 +36,7 @@
 	}
 }
 
-// post sends one message to a node's operator interface.
+// post sends one message to a node's operator API.
 func post[Answer any](ctx context.Context, command *cli.Command, path string, message any) (Answer, error) {
 	return send[Answer](ctx, command, sling.New().Post("http://"+command.String("node")+"/operator/"+path).BodyJSON(message))
 }
@@ -52,7 +52,7 @@
 	var refusal operator.ErrorAnswer
 	response, err := sling.New().Do(request.WithContext(ctx), &answer, &refusal)
 	if err != nil {
-		return answer, failure.New(failure.KindUnavailable, "the node gave no answer: "+err.Error(), "name another node with --node").WithOutcome(failure.Unknown)
+		return answer, failure.New(failure.KindUnavailable, "call to the node failed: "+err.Error(), "choose another node with --node").WithOutcome(failure.Unknown)
 	}
 	if response.StatusCode != http.StatusOK {
 		return answer, &failure.Failure{Kind: refusal.Kind, Outcome: refusal.Outcome, Problem: refusal.Problem, Remedy: refusal.Remedy}
@@ -60,7 +60,7 @@
 	return answer, nil
 }
 
-// print writes a value as JSON, or as the table made from it.
+// print writes a value as JSON, or as the table that table returns.
 func print(command *cli.Command, value any, table func() *operator.Table) error {
 	if command.String("output") == "json" {
 		encoder := json.NewEncoder(writer(command))
--- a/internal/command/declaration.go
+++ b/internal/command/declaration.go
@@ -16,25 +16,25 @@
 
 func fileArgument(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", failure.New(failure.KindInvalidRequest, "one declaration file is needed", "write: cloverrail "+command.Name+" FILE")
+		return "", failure.New(failure.KindInvalidRequest, "exactly one declaration file is required", "run: cloverrail "+command.Name+" FILE")
 	}
 	return command.Args().First(), nil
 }
 
-// checked reads a declaration.
+// parseFileArgument reads and validates the declaration file named on the command line.
 func checked(command *cli.Command) (path string, declared *configuration.Declaration, err error) {
 	if path, err = fileArgument(command); err != nil {
 		return "", nil, err
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", nil, failure.New(failure.KindInvalidRequest, err.Error(), "name a file that exists")
+		return "", nil, failure.New(failure.KindInvalidRequest, err.Error(), "specify a readable file")
 	}
 	declared, err = configuration.Parse(path, text)
 	return path, declared, err
 }
 
-// checkResult is what check prints.
+// checkResult is the output of the check command.
 type checkResult struct {
 	File    string `json:"file"`
 	Fleet   string `json:"fleet"`
@@ -121,7 +121,7 @@
 			answer, err := post[operator.ChangeAnswer](ctx, command, "apply", operator.ApplyRequest{
 				ChangeID: change, File: filepath.Base(path), Declaration: declared, BaseRevision: command.Int64("base")})
 			if err != nil && failure.As(err).Outcome == failure.Unknown {
-				return failure.New(failure.KindUnknownOutcome, "it is not known whether change "+change+" took effect: "+failure.As(err).Problem,
+				return failure.New(failure.KindUnknownOutcome, "unknown whether change "+change+" took effect: "+failure.As(err).Problem,
 					"run: cloverrail apply --settle "+change).WithOutcome(failure.Unknown)
 			}
 			return printChange(command, answer, err)
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -19,10 +19,10 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// longestLine bounds a line of a log in bytes.
+// maxLineBytes bounds a log line.
 const longestLine = 1 << 20
 
-// logLine is what explain reads of a proxy's log line.
+// logLine holds the fields of a proxy's log line that explain uses.
 type logLine struct {
 	ID          string    `json:"id"`
 	Time        time.Time `json:"time"`
@@ -50,31 +50,34 @@
 	InStore     int       `json:"in_store"`
 	Queued      int       `json:"queued"`
 	Suppressed  int       `json:"suppressed_before"`
-	// Costs and NextCosts hold the terms of the cost of the chosen server and of Next,
-	// the cheapest other one, in milliseconds of engine time.
+	// Costs and NextCosts hold the cost terms of the chosen server and of Next, the second
+	// cheapest, in milliseconds of engine time.
 	Costs     map[string]int64 `json:"costs"`
 	Next      string           `json:"next"`
 	NextCosts map[string]int64 `json:"next_costs"`
-	// Deferred says that the request was placed to let others go first.
+	// Deferred says that the request will be late and yields to others.
 	Deferred bool `json:"deferred"`
-	// Fingerprint is the same for all tries of a request under which a server may have ended.
+	// Fingerprint is the same for all retries of a request. It is set if a server may have crashed
+	// while running the request.
 	Fingerprint string `json:"fingerprint"`
-	// Settled says whether the server had ended.
+	// Settled says whether the server had crashed.
 	Settled string `json:"settled"`
-	// The figures of a refusal for the servers that ended under a request.
+	// Crashes to Stored describe the rejection of a quarantined request; Crashes is the number of
+	// crashes.
 	Ended  int     `json:"ended"`
 	Weight float64 `json:"weight"`
 	Stored bool    `json:"stored"`
-	// The figures of a refusal for a tenant's limit.
+	// Tenant to Requested, and Level to Age, describe a rejection because of a tenant's limit.
 	Tenant string  `json:"tenant"`
 	Limit  float64 `json:"limit"`
 	Asked  float64 `json:"asked"`
-	// The figures of a refusal for the limits of servers, and of servers passed over for them.
+	// Service to OverLimit describe a rejection because of servers' rate limits, and the servers
+	// skipped because of them.
 	Service    string  `json:"service"`
 	Servers    int     `json:"servers"`
 	Shortest   float64 `json:"shortest"`
 	PassedOver int     `json:"passed_over"`
-	// Looks is how often the servers were looked at, and LastResort says that all had failed.
+	// Rounds is the number of placement rounds; LastResort says that all remaining servers had failed.
 	Looks      int     `json:"looks"`
 	LastResort bool    `json:"last_resort"`
 	Level      float64 `json:"level"`
@@ -84,7 +87,7 @@
 	RetryAfter float64 `json:"retry_after"`
 }
 
-// eventMeanings says what became of an attempt.
+// eventTexts maps the events of attempts to their explanations.
 var eventMeanings = map[string]string{
 	"refused":    "the server refused it: it did not run there",
 	"unreached":  "no connection to the server came up: nothing was sent",
@@ -111,25 +114,25 @@
 		Action: func(_ context.Context, command *cli.Command) error {
 			id := command.Args().First()
 			if id == "" {
-				return failure.New(failure.KindInvalidRequest, "no request is named", "give the request's id")
+				return failure.New(failure.KindInvalidRequest, "missing request ID", "pass the request's ID as the argument")
 			}
 			return explain(os.Stdin, writer(command), id)
 		},
 	}
 }
 
-// explain writes what the log says of a request.
+// explain writes an explanation of each log line of a request.
 func explain(log io.Reader, target io.Writer, id string) error {
 	lines, suppressed, err := linesOf(log, id)
 	if err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		remedy := "give the logs of all nodes"
+		remedy := "pass the logs of all nodes"
 		if suppressed > 0 {
-			remedy = fmt.Sprintf("its lines may be among the %d that the nodes left out", suppressed)
+			remedy = fmt.Sprintf("its lines may be among the %d that the nodes suppressed", suppressed)
 		}
-		return failure.New(failure.KindNotFound, "no line names the request", remedy)
+		return failure.New(failure.KindNotFound, "no log line of the request found", remedy)
 	}
 	for _, line := range lines {
 		if _, err := fmt.Fprintf(target, "%s %s: %s\n", line.Time.Format("15:04:05.000"), line.Node, line.meaning()); err != nil {
@@ -139,14 +142,14 @@
 	return nil
 }
 
-// linesOf returns the lines of a request in the order of their time, and how many
-// lines the log says were left out. The request is named by its id or its fingerprint.
+// readLines returns the lines of a request, named by its id or fingerprint, in order of time, and
+// the number of suppressed lines that the log reports.
 func linesOf(log io.Reader, id string) (lines []logLine, suppressed int, err error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, longestLine)
 	for scanner.Scan() {
 		text := scanner.Text()
-		// Collectors put their own words before a line.
+		// Log collectors may prefix lines.
 		start := strings.IndexByte(text, '{')
 		var line logLine
 		if start < 0 || json.Unmarshal([]byte(text[start:]), &line) != nil {
@@ -158,7 +161,7 @@
 		}
 	}
 	slices.SortStableFunc(lines, func(first, second logLine) int { return first.Time.Compare(second.Time) })
-	return lines, suppressed, errors.Annotate(scanner.Err(), "the log cannot be read; give it as the nodes wrote it")
+	return lines, suppressed, errors.Annotate(scanner.Err(), "cannot read the log; pass it as the nodes wrote it")
 }
 
 func (line logLine) meaning() string {
@@ -247,7 +250,7 @@
 	return fmt.Sprintf("server %s closed a connection before its whole answer and goes on to answer: that counts for nothing", line.Server)
 }
 
-// costText shows a cost with its terms, the greatest first.
+// costText formats a cost and its terms, the largest first.
 func costText(costs map[string]int64) string {
 	sum := int64(0)
 	names := slices.Sorted(maps.Keys(costs))
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -21,13 +21,13 @@
 
 const (
 	environmentPrefix = "CLOVERRAIL_"
-	// collectorPercent makes the collector run at half the garbage that the
-	// runtime would allow: open streams make little garbage, and their memory is
-	// what a node runs out of first. GOGC in the environment overrides it.
+	// gcPercent makes the garbage collector run at half the heap growth of Go's default: open
+	// streams produce little garbage, and their memory is what a node runs out of first. The
+	// environment variable GOGC overrides it.
 	collectorPercent = 50
 )
 
-// Node returns the command that runs a server.
+// Node returns the command that runs a node.
 func Node() *cli.Command {
 	return &cli.Command{
 		Name:  "node",
@@ -68,7 +68,7 @@
 	}
 }
 
-// effective reads the file and lays the environment and flags over it.
+// effectiveSettings returns the settings of the file, overridden by the environment and flags.
 func effective(command *cli.Command) (settings.Settings, error) {
 	given := settings.Defaults()
 	if path := command.String("settings"); path != "" {
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,4 +1,4 @@
-// Package command is the command line of cloverrail.
+// Package command implements the command line of cloverrail.
 package command
 
 import (
@@ -26,8 +26,8 @@
 const exitCodeHelp = `Exit codes: 0 done, 1 refused or failed, 2 faulty file or usage,
 3 outcome unknown (settle it with: cloverrail apply --settle CHANGE).`
 
-// Main runs the command line, with commands that the caller adds, and returns
-// the exit code.
+// Main runs the command line, including the added commands, and returns the exit
+// code.
 func Main(ctx context.Context, arguments []string, added ...*cli.Command) int {
 	root := Root()
 	root.Commands = append(root.Commands, added...)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Root returns the whole command tree.
+// Root returns the command tree.
 func Root() *cli.Command {
 	return &cli.Command{
 		Name:        "cloverrail",
@@ -86,7 +86,7 @@
 	}
 }
 
-// versionInfo says what was built, and with what.
+// versionInfo holds the versions of the program and of the Go toolchain that built it.
 type versionInfo struct {
 	Version string `json:"version"`
 	Go      string `json:"go"`
