--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -9,70 +9,69 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// Proxy is what a proxy process is told at its start.
+// Proxy holds the settings of a proxy process.
 type Proxy struct {
-	// Name of the node; one machine has one.
+	// Name of the node, which is unique to its machine.
 	Name string `yaml:"name" validate:"required"`
 	Zone string `yaml:"zone" validate:"required"`
-	// Zones gives the region of each zone.
+	// Zones maps each zone to its region.
 	Zones map[string]string `yaml:"zones"`
-	// CallerAddress serves callers, ReadinessAddress the question whether they
-	// should come.
+	// CallerAddress serves clients, ReadinessAddress the readiness check.
 	CallerAddress    string `yaml:"callerAddress" validate:"tcp_addr"`
 	ReadinessAddress string `yaml:"readinessAddress" validate:"tcp_addr"`
 	// MetricsAddress serves metrics; empty means none.
 	MetricsAddress string `yaml:"metricsAddress" validate:"omitempty,tcp_addr"`
-	// ProcessorShare is the processor time that this node may use, in cores; 0 means that
-	// it is not known. Nodes with much of it work for the others.
+	// ProcessorShare is the CPU time that this node may use, in cores; 0 means unknown. Nodes
+	// with a large share relay for the others.
 	ProcessorShare float64 `yaml:"processorShare" validate:"min=0"`
 	// PeerAddress serves other nodes.
 	PeerAddress string `yaml:"peerAddress" validate:"tcp_addr"`
-	// StoreAddress is the shared store's.
+	// StoreAddress is the address of the shared store.
 	StoreAddress string `yaml:"storeAddress" validate:"tcp_addr"`
-	// StoreLeastLease is the shortest lease that the store grants.
+	// MinStoreLease is the shortest lease TTL that the store grants.
 	StoreLeastLease time.Duration `yaml:"storeLeastLease" validate:"min=0"`
-	// Heartbeat is the time between two writings of a server's entry in the store.
+	// Heartbeat is the interval at which servers rewrite their entries in the store.
 	Heartbeat time.Duration `yaml:"heartbeat" validate:"gt=0"`
-	// Grace is the time between the signal to stop and the end.
+	// Grace is the time from the stop signal until the process ends.
 	Grace  time.Duration `yaml:"grace" validate:"gt=0"`
 	Bounds ProxyBounds   `yaml:"bounds"`
 	// LogLevel is one of debug, info, warn and error.
 	LogLevel string `yaml:"logLevel" validate:"oneof=debug info warn error"`
 }
 
-// ProxyBounds are the promises that the fleet keeps.
+// ProxyBounds are the guarantees that the fleet gives.
 type ProxyBounds struct {
-	// Configuration is when an accepted declaration must be in force everywhere.
+	// Configuration bounds the time until an accepted declaration is in force everywhere.
 	Configuration time.Duration `yaml:"configuration" validate:"gt=0"`
-	// Revocation is when a removed key must have stopped working.
+	// Revocation bounds the time until a removed key stops working.
 	Revocation time.Duration `yaml:"revocation" validate:"gt=0"`
-	// Drain is when a leaving server must get no new work.
+	// Drain bounds the time until a draining server gets no new requests.
 	Drain time.Duration `yaml:"drain" validate:"gt=0"`
-	// Weights is when older weights must have stopped serving.
+	// Weights bounds the time until replaced weights no longer serve.
 	Weights time.Duration `yaml:"weights" validate:"gt=0"`
-	// ReplacedGrace is the time after the naming of newer weights in which an answer
-	// on older ones is worth as much; ReplacedLoss is the share of its worth, from 0 to
-	// 1, that is lost after it.
+	// ReplacedGrace is the time after the release of newer weights in which a response on older
+	// ones keeps its full value; ReplacedLoss is the fraction of its value, from 0 to 1, that is
+	// lost afterwards.
 	ReplacedGrace time.Duration `yaml:"replacedGrace" validate:"min=0"`
 	ReplacedLoss  float64       `yaml:"replacedLoss" validate:"min=0,max=1"`
-	// Contact is the time after its start in which a node is not yet held to what
-	// it cannot know.
+	// StartupGrace is the time after its start in which the bounds do not yet apply to a node, as
+	// it cannot know the fleet's state.
 	Contact time.Duration `yaml:"contact" validate:"gt=0"`
-	// HolderChange is the least time between the orders of two holders.
+	// LeaderHandover is the minimum time between the orders of two successive rollout leaders.
 	HolderChange time.Duration `yaml:"holderChange" validate:"gt=0"`
-	// RetryRatio, RetryExtra and RetryWindow bound the fleet's repetitions.
+	// RetryRatio, RetryExtra and RetryWindow define the fleet's retry budget.
 	RetryRatio  float64       `yaml:"retryRatio" validate:"min=0"`
 	RetryExtra  float64       `yaml:"retryExtra" validate:"min=0"`
 	RetryWindow time.Duration `yaml:"retryWindow" validate:"gt=0"`
-	// QuotaWindow, QuotaOvershoot and QuotaSlack bound what a tenant's requests that run
-	// may come to over the whole fleet: within any window, what its limit allows times 1
-	// plus the overshoot, plus the slack, in the unit of the limit.
+	// QuotaWindow, QuotaOvershoot and QuotaSlack bound a tenant's admitted requests over the whole
+	// fleet: in any window, at most what its limit allows times (1 + overshoot), plus the slack, in
+	// the unit of the limit.
 	QuotaWindow    time.Duration `yaml:"quotaWindow" validate:"gt=0"`
 	QuotaOvershoot float64       `yaml:"quotaOvershoot" validate:"min=0"`
 	QuotaSlack     float64       `yaml:"quotaSlack" validate:"min=0"`
 }
 
-// ProxyDefaults for what the file may leave out.
+// ProxyDefaults returns the defaults of settings that the file may omit.
 func ProxyDefaults() Proxy {
 	return Proxy{
 		StoreLeastLease: time.Second,
@@ -95,12 +94,12 @@
 	}
 }
 
-// ReadProxy parses and checks the settings file of a proxy.
+// ReadProxy parses and validates the settings file of a proxy.
 func ReadProxy(path string) (Proxy, error) {
 	settings := ProxyDefaults()
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return settings, errors.Annotate(err, "cannot read the settings; name a file that exists")
+		return settings, errors.Annotate(err, "cannot read settings; specify a readable file")
 	}
 	if err := strictyaml.DecodePartial(path, data, &settings); err != nil {
 		return settings, err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds what a node process is told at its start: a YAML file,
-// overridden by the environment, overridden by flags.
+// Package settings defines the settings of the node and proxy processes. Those of a
+// node come from a YAML file, overridden by the environment, overridden by flags.
 package settings
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// Settings of one node.
+// Settings holds the settings of one node.
 type Settings struct {
-	// Zone the node stands in.
+	// Zone is the zone of the node.
 	Zone string `yaml:"zone" validate:"required"`
-	// CallerAddress serves callers.
+	// CallerAddress serves clients.
 	CallerAddress string `yaml:"callerAddress" validate:"tcp_addr"`
 	// PeerAddress serves other nodes, over TCP and UDP, and is the node's identity.
 	PeerAddress string `yaml:"peerAddress" validate:"tcp_addr"`
@@ -26,21 +26,21 @@
 	Seeds []string `yaml:"seeds" validate:"dive,tcp_addr"`
 	// KeyValueAddress is the platform's key-value service.
 	KeyValueAddress string `yaml:"keyValueAddress" validate:"tcp_addr"`
-	// MachineListAddress is the platform's list of machines; empty means none.
+	// MachineListAddress is the platform's machine list; empty means none.
 	MachineListAddress string `yaml:"machineListAddress" validate:"omitempty,tcp_addr"`
 	// FleetKey is the secret that all nodes share, at least 32 hexadecimal digits.
 	FleetKey string `yaml:"fleetKey" validate:"required,min=32,hexadecimal"`
-	// DrainDeadline bounds how long a planned stop waits for open requests.
+	// DrainDeadline bounds how long a graceful stop waits for open requests.
 	DrainDeadline time.Duration `yaml:"drainDeadline" validate:"gt=0"`
-	// DrainNotice is how long a node that drains goes on taking new requests, for
-	// load balancers to see that it is not ready any more.
+	// DrainNotice is how long a draining node keeps accepting new requests, so that load
+	// balancers can see that it is not ready.
 	DrainNotice time.Duration `yaml:"drainNotice" validate:"min=0"`
-	// RevisionFloor makes a node refuse configurations below it.
+	// RevisionFloor is the lowest configuration revision that the node accepts.
 	RevisionFloor int64 `yaml:"revisionFloor" validate:"min=0"`
-	// ReplicateUpTo is the size of fleet up to which every node keeps the whole
-	// cache index. Above it, each chain has one home. All nodes must agree.
+	// ReplicateUpTo is the fleet size up to which every node keeps the whole cache
+	// index. Above it, each chain has one home node. All nodes must use the same value.
 	ReplicateUpTo int `yaml:"replicateUpTo" validate:"min=0"`
-	// MaximumBody bounds a request's body in bytes.
+	// MaximumBody bounds the size of a request body in bytes.
 	MaximumBody int64 `yaml:"maximumBody" validate:"min=1024"`
 	// BootstrapDigest is the SHA-256 digest of an operator key that works on this
 	// node before any operator is declared; empty means none.
@@ -49,10 +49,10 @@
 	LogLevel string `yaml:"logLevel" validate:"oneof=debug info warn error"`
 }
 
-// defaultReplicateUpTo is weighed in docs/decisions/index.md.
+// defaultReplicateUpTo is explained in docs/decisions/index.md.
 const defaultReplicateUpTo = 32
 
-// Defaults for what the file may leave out.
+// Defaults returns the defaults of settings that the file may omit.
 func Defaults() Settings {
 	return Settings{
 		CallerAddress:   "127.0.0.1:8080",
@@ -67,19 +67,19 @@
 	}
 }
 
-// Read parses a settings file over the defaults. Checks come later, once the
-// overrides are in.
+// Read parses a settings file over the defaults. Call Check to validate the settings
+// once the overrides are applied.
 func Read(path string) (Settings, error) {
 	settings := Defaults()
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return settings, errors.Annotate(err, "cannot read the settings; name a file that exists")
+		return settings, errors.Annotate(err, "cannot read settings; specify a readable file")
 	}
 	err = strictyaml.DecodePartial(path, data, &settings)
 	return settings, err
 }
 
-// Check reports all faults of the effective settings.
+// Check validates the effective settings and reports all problems.
 func (settings *Settings) Check() error {
 	return strictyaml.Validate("(effective settings)", settings)
 }
@@ -90,7 +90,7 @@
 	return key
 }
 
-// Redacted returns a copy that may be printed.
+// Redacted returns a copy without secrets, for printing.
 func (settings Settings) Redacted() Settings {
 	if settings.FleetKey != "" {
 		settings.FleetKey = "(hidden)"
