--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -7,13 +7,13 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// Defaults that apply where a declaration is silent.
+// Defaults of fields that a declaration may omit.
 const (
 	DefaultClaimWindow = 10 * time.Minute
 	DefaultClockSkew   = 500 * time.Millisecond
 )
 
-// Parse reads one declaration from YAML. The file name is for messages alone.
+// Parse reads one declaration from YAML. The file name is used in error messages only.
 func Parse(file string, data []byte) (*Declaration, error) {
 	declaration := &Declaration{Claims: Claims{Window: DefaultClaimWindow, ClockSkew: DefaultClockSkew}}
 	if err := strictyaml.Decode(file, data, declaration); err != nil {
@@ -22,7 +22,7 @@
 	return declaration, nil
 }
 
-// Check reports references that lead nowhere and names that stand twice.
+// Check reports undeclared references, duplicate names and keys, and too few claim holders.
 func (declaration *Declaration) Check(report func(path, problem, remedy string)) {
 	zones := nameSet(declaration.Zones, func(zone Zone) string { return zone.Name })
 	models := nameSet(declaration.Models, func(model Model) string { return model.Name })
@@ -32,14 +32,14 @@
 
 	reference := func(known map[string]bool, path, kind, name string) {
 		if !known[name] {
-			report(path, fmt.Sprintf("no %s is named %q", kind, name), "declare it, or correct the name")
+			report(path, fmt.Sprintf("unknown %s %q", kind, name), "declare it, or correct the name")
 		}
 	}
 	backends := map[string]string{}
 	backend := func(path string, server Backend) {
 		reference(zones, path+".zone", "zone", server.Zone)
 		if first, twice := backends[server.Name]; twice {
-			report(path+".name", fmt.Sprintf("%q is already used at %s", server.Name, first), "give every back end its own name")
+			report(path+".name", fmt.Sprintf("%q is already used at %s", server.Name, first), "give every backend a unique name")
 		}
 		backends[server.Name] = path
 	}
@@ -67,7 +67,7 @@
 	digests := map[string]string{}
 	digest := func(path, value string) {
 		if first, twice := digests[value]; twice {
-			report(path, "the same key digest stands at "+first, "give every tenant and operator its own key")
+			report(path, "the same key digest is already used at "+first, "give every tenant and operator a unique key")
 		}
 		digests[value] = path
 	}
@@ -85,7 +85,7 @@
 		digest(fmt.Sprintf("operators[%d].keyDigest", index), operator.KeyDigest)
 	}
 	if count := len(declaration.Claims.Holders); count > 0 && count < 3 {
-		report("claims.holders", fmt.Sprintf("%d holders cannot outlive the loss of one", count), "name at least 3 nodes, in different zones")
+		report("claims.holders", fmt.Sprintf("%d holders cannot tolerate the loss of one", count), "name at least 3 nodes, in different zones")
 	}
 }
 
@@ -97,7 +97,7 @@
 	return names
 }
 
-// HasBackend reports whether an engine or server of the name is declared.
+// HasBackend reports whether an engine or server with the given name is declared.
 func (declaration *Declaration) HasBackend(name string) bool {
 	for _, pool := range declaration.Pools {
 		for _, engine := range pool.Engines {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Snapshot is a compiled declaration. It is immutable: a node swaps one
-// pointer to put a new one in force.
+// Snapshot is a compiled declaration. It is immutable: a node applies a new one by
+// swapping a pointer.
 type Snapshot struct {
 	// Revision is the key-value service's revision of the declaration.
 	Revision int64
-	// ChangeID names the change that made this revision.
+	// ChangeID identifies the change that created this revision.
 	ChangeID    string
 	Declaration *Declaration
 
@@ -24,7 +24,7 @@
 	draining          map[string]bool
 }
 
-// Compile builds the lookup tables of a declaration that passed its checks.
+// Compile builds the lookup tables of a declaration that passed validation.
 func Compile(revision int64, changeID string, declaration *Declaration) *Snapshot {
 	snapshot := &Snapshot{
 		Revision:          revision,
@@ -63,57 +63,57 @@
 	return snapshot
 }
 
-// Digest returns the SHA-256 digest of a key, as declared.
+// Digest returns the SHA-256 digest of a key in the hexadecimal form used in declarations.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// binaryDigest halves the memory of a digest that passed its check.
+// decodeDigest decodes a validated hexadecimal digest, which halves its memory.
 func binaryDigest(digest string) [sha256.Size]byte {
 	var binary [sha256.Size]byte
 	_, _ = hex.Decode(binary[:], []byte(digest))
 	return binary
 }
 
-// TenantOfKey finds the tenant that owns the key.
+// TenantOfKey returns the tenant that owns the key.
 func (snapshot *Snapshot) TenantOfKey(key string) (*Tenant, bool) {
 	tenant, found := snapshot.tenantsByDigest[sha256.Sum256([]byte(key))]
 	return tenant, found
 }
 
-// Tenant finds a tenant by name.
+// Tenant returns a tenant by name.
 func (snapshot *Snapshot) Tenant(name string) (*Tenant, bool) {
 	tenant, found := snapshot.tenants[name]
 	return tenant, found
 }
 
-// OperatorOfKey finds the operator that owns the key.
+// OperatorOfKey returns the operator that owns the key.
 func (snapshot *Snapshot) OperatorOfKey(key string) (*Operator, bool) {
 	operator, found := snapshot.operatorsByDigest[sha256.Sum256([]byte(key))]
 	return operator, found
 }
 
-// Class finds a job class by name.
+// Class returns a job class by name.
 func (snapshot *Snapshot) Class(name string) (*Class, bool) {
 	class, found := snapshot.classes[name]
 	return class, found
 }
 
-// Model finds a model by name.
+// Model returns a model by name.
 func (snapshot *Snapshot) Model(name string) (*Model, bool) {
 	model, found := snapshot.models[name]
 	return model, found
 }
 
-// Draining reports whether operators drain the back end.
+// Draining reports whether the backend is declared as draining.
 func (snapshot *Snapshot) Draining(backend string) bool {
 	return snapshot.draining[backend]
 }
 
-// PoolsFor lists the pools through which the tenant reaches the model. An empty
-// list means either that there is no such model or that it is another tenant's:
-// callers must not be able to tell these apart.
+// PoolsFor returns the tenant's pools that serve the model. An empty list means that
+// the model does not exist or that the tenant may not use it: clients must not be able
+// to tell these apart.
 func (snapshot *Snapshot) PoolsFor(tenant *Tenant, model string) []*Pool {
 	pools := []*Pool{}
 	for _, name := range tenant.Pools {
@@ -130,7 +130,7 @@
 	return pools
 }
 
-// ModelsFor lists the models that the tenant reaches, in order of declaration.
+// ModelsFor returns the models that the tenant may use, in declaration order.
 func (snapshot *Snapshot) ModelsFor(tenant *Tenant) []*Model {
 	models := []*Model{}
 	for index := range snapshot.Declaration.Models {
@@ -142,8 +142,8 @@
 	return models
 }
 
-// ServiceFor finds the service and route of a plain request. The longest path
-// wins; a service closed to the tenant does not exist for it.
+// ServiceFor returns the service and route of a plain request, or nil. The longest
+// matching path wins; services that the tenant may not call are ignored.
 func (snapshot *Snapshot) ServiceFor(tenant *Tenant, method, path string) (*Service, *Route) {
 	var service *Service
 	var route *Route
