--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,12 +1,12 @@
-// Package metrics holds a node's counters. Names of tenants, models and back
-// ends may stand in labels; keys, prompts and answers never.
+// Package metrics defines the metrics of a node. Labels may contain the names of
+// tenants, models and backends, but never keys, prompts or responses.
 package metrics
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Set is all metrics of one node.
+// Set holds all metrics of one node.
 type Set struct {
 	Registry         *prometheus.Registry
 	Requests         *prometheus.CounterVec
@@ -27,7 +27,7 @@
 	ConfigurationErr prometheus.Counter
 }
 
-// New registers all metrics.
+// New creates and registers all metrics.
 func New() *Set {
 	set := &Set{Registry: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
