--- a/cmd/cloverrail-lab/demo.go
+++ b/cmd/cloverrail-lab/demo.go
@@ -18,7 +18,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/load"
 )
 
-// stepTimes of the engines of each profile.
+// stepTimes holds the minimum duration of an engine step in each profile.
 var stepTimes = map[string]time.Duration{"kuusisto": 6 * time.Millisecond, "dakar": 4 * time.Millisecond}
 
 func demoCommand() *cli.Command {
@@ -100,12 +100,13 @@
 		return errors.Trace(err)
 	}
 	if summary.Wrong > 0 || summary.Broken > 0 {
-		return errors.New("some answers were wrong or broken; run again with --verbose")
+		return errors.New("some responses were wrong or incomplete; run again with --verbose")
 	}
 	return nil
 }
 
-// wait comes back when a refusal says so.
+// waitRetryAfter waits for the Retry-After time of a rejection. It returns at once if the record has
+// none.
 func wait(ctx context.Context, record load.Record) {
 	seconds, err := strconv.Atoi(record.RetryAfter)
 	if err != nil {
@@ -117,8 +118,8 @@
 	}
 }
 
-// progress keeps callers busy until the context ends, and lets open requests
-// finish.
+// runLoad sends requests from concurrent callers until the context ends, and prints their number
+// every second. It waits for open requests to finish.
 func progress(ctx context.Context, generator *load.Generator, callers, nodes int) {
 	kinds := []load.Kind{load.Streamed, load.Streamed, load.Whole, load.Once}
 	var done sync.WaitGroup
--- a/cmd/cloverrail-lab/main.go
+++ b/cmd/cloverrail-lab/main.go
@@ -1,5 +1,5 @@
-// Command cloverrail-lab is the test tool of cloverrail: stand-ins for the
-// systems around it, load, faults and experiments. It is never deployed.
+// Command cloverrail-lab is the test tool of cloverrail. It runs stand-ins for the external systems,
+// generates load, injects faults and runs experiments. It is never deployed.
 package main
 
 import (
--- a/cmd/cloverrail-lab/soak.go
+++ b/cmd/cloverrail-lab/soak.go
@@ -44,7 +44,7 @@
 	if folder == "" {
 		made, err := os.MkdirTemp("", "cloverrail-soak-")
 		if err != nil {
-			return errors.Annotate(err, "name a folder with --folder")
+			return errors.Annotate(err, "cannot create a temporary folder; choose one with --folder")
 		}
 		folder = made
 	}
@@ -74,12 +74,12 @@
 		violated = printVerdicts(verdicts) || violated
 	}
 	if violated {
-		return errors.New("a promise was broken; keep the seed in platform/standin/soak/seeds.txt with its cause")
+		return errors.New("a guarantee was violated; add the seed and its cause to platform/standin/soak/seeds.txt")
 	}
 	return nil
 }
 
-// buildFormer builds the program of a commit of this repository's history, and returns its path.
+// buildLegacy builds the program at a commit of this repository, and returns its path.
 func buildFormer(ctx context.Context, commit, folder string) (string, error) {
 	tree, program := filepath.Join(folder, "former"), filepath.Join(folder, "cloverrail-former")
 	for _, step := range [][]string{
@@ -88,13 +88,14 @@
 		{"git", "worktree", "remove", "--force", tree},
 	} {
 		if output, err := exec.CommandContext(ctx, step[0], step[1:]...).CombinedOutput(); err != nil {
-			return "", errors.Annotatef(err, "commit %s cannot be built, by %v; name one of this repository's: %s", commit, step, output)
+			return "", errors.Annotatef(err, "commit %s cannot be built, as %v failed; choose a commit of this repository: %s", commit, step, output)
 		}
 	}
 	return program, nil
 }
 
-// printVerdicts prints a table, and reports whether a promise was broken.
+// printVerdicts prints a table of the verdicts and the first violations of each, and reports whether
+// any guarantee was violated.
 func printVerdicts(verdicts []soak.Verdict) bool {
 	violated := false
 	columns := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
--- a/cmd/cloverrail-lab/standin.go
+++ b/cmd/cloverrail-lab/standin.go
@@ -90,7 +90,7 @@
 func serve(ctx context.Context, command *cli.Command, handler http.Handler) error {
 	listener, err := net.Listen("tcp", command.String("address"))
 	if err != nil {
-		return errors.Annotate(err, "choose a free port")
+		return errors.Annotate(err, "cannot listen; choose a free port")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/cmd/cloverrail-lab/streams.go
+++ b/cmd/cloverrail-lab/streams.go
@@ -33,7 +33,7 @@
 const (
 	streamTries = 20
 	streamPause = time.Second
-	// openPause spreads the connections that the streams need.
+	// openInterval spreads out the connection attempts of the streams.
 	openPause = time.Millisecond
 )
 
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// widen lifts the example's limits for the count.
+// raiseLimits raises the limits of the example so that the node admits count streams at once.
 func widen(declaration *configuration.Declaration, count int) {
 	for index := range declaration.Tenants {
 		declaration.Tenants[index].Limits = configuration.Limits{RequestsPerSecond: float64(count), Burst: count, Streams: count}
@@ -94,8 +94,8 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// awaitStreams waits until the node has the streams open, and lets them run for
-// a moment.
+// waitForStreams waits until the node has count streams open, lets them run for one more
+// streamPollInterval, and returns the number of open streams.
 func awaitStreams(started *cluster.Cluster, count int) (float64, error) {
 	for range streamTries {
 		time.Sleep(streamPause)
