--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -24,7 +24,7 @@
 	"github.com/cloverrail/cloverrail/internal/operator"
 )
 
-// OperatorKey opens the operators' interface of a laboratory fleet.
+// OperatorKey authenticates against the operator API of a test cluster.
 const OperatorKey = "demo-operator"
 
 const (
@@ -33,24 +33,25 @@
 	readyPause   = 20 * time.Millisecond
 )
 
-// Config sets up a cluster.
+// Config holds the settings of a cluster.
 type Config struct {
-	// Declaration is an example whose addresses are replaced.
+	// Declaration is a template; Start replaces its addresses.
 	Declaration *configuration.Declaration
 	Nodes       int
-	// MachineListLag is how far the machine list is behind.
+	// MachineListLag delays changes of the machine list.
 	MachineListLag time.Duration
-	// EventGap is the share of cache events that engines lose.
+	// EventLossRate is the fraction of cache events that engines drop.
 	EventGap float64
-	// Log receives the output of all processes; nil drops it.
+	// Log receives the output of all processes; nil discards it.
 	Log io.Writer
-	// Homes makes each chain of the index have one home, as in a large fleet.
+	// PartitionIndex gives each chain of the prefix index a single owner node
+	// instead of replicating the index on every node, as in a large fleet.
 	Homes bool
-	// StepTime of the engines.
+	// StepTime is the step time of the engines.
 	StepTime time.Duration
 }
 
-// Node is one node's process and addresses.
+// Node holds the process and addresses of one node.
 type Node struct {
 	Process  *Process
 	Zone     string
@@ -59,14 +60,14 @@
 	Operator string
 }
 
-// Backend is one stand-in's process and address.
+// Backend holds the process and address of one stub server.
 type Backend struct {
 	Process *Process
 	Name    string
 	Address string
 }
 
-// Cluster is a running fleet.
+// Cluster is a set of running nodes with the stub services that they use.
 type Cluster struct {
 	config      Config
 	Declaration *configuration.Declaration
@@ -80,7 +81,8 @@
 	client      *http.Client
 }
 
-// Start starts everything and waits until every node is ready.
+// Start starts all processes, applies the declaration and waits until every node
+// is ready.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	cluster := &Cluster{config: config, client: &http.Client{Timeout: 10 * time.Second}}
 	if err := cluster.start(ctx); err != nil {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// StartEngine starts, or starts again, an engine's process.
+// StartEngine starts or restarts the process of an engine.
 func (cluster *Cluster) StartEngine(backend *Backend) error {
 	weights := []string{}
 	for _, model := range cluster.Declaration.Models {
@@ -204,7 +206,7 @@
 	return err
 }
 
-// StartNode starts, or starts again, a node's process.
+// StartNode starts or restarts the process of a node.
 func (cluster *Cluster) StartNode(index int) error {
 	node := cluster.Nodes[index]
 	arguments := []string{"node", "--zone", node.Zone, "--caller-address", node.Caller, "--peer-address", node.Peer,
@@ -226,12 +228,12 @@
 	return err
 }
 
-// Apply puts a declaration in force through a node.
+// Apply applies a declaration through a node.
 func (cluster *Cluster) Apply(ctx context.Context, node int, declaration *configuration.Declaration, change string) (operator.ChangeAnswer, error) {
 	return Post[operator.ChangeAnswer](ctx, cluster, node, "apply", operator.ApplyRequest{ChangeID: change, File: "lab", Declaration: declaration})
 }
 
-// Post sends an operator's message to a node.
+// Post sends a request to the operator API of a node.
 func Post[Answer any](ctx context.Context, cluster *Cluster, node int, path string, message any) (Answer, error) {
 	var answer Answer
 	var refusal operator.ErrorAnswer
@@ -250,7 +252,7 @@
 	return answer, nil
 }
 
-// Status asks a node for its state.
+// Status queries the operator API of a node for its status.
 func (cluster *Cluster) Status(node int) (operator.StatusAnswer, error) {
 	var answer operator.StatusAnswer
 	_, err := sling.New().Client(cluster.client).Get("http://"+cluster.Nodes[node].Operator+"/operator/status").
@@ -258,17 +260,17 @@
 	return answer, err
 }
 
-// Fetch reads a JSON value from a stand-in.
+// Fetch reads a JSON value from a stub server.
 func Fetch[Value any](cluster *Cluster, address, path string) (Value, error) {
 	var value Value
 	response, err := sling.New().Client(cluster.client).Get("http://" + address + path).ReceiveSuccess(&value)
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = errors.Errorf("%s%s answered %d", address, path, response.StatusCode)
+		err = errors.Errorf("%s%s returned status %d", address, path, response.StatusCode)
 	}
 	return value, err
 }
 
-// Control sends a command to a stand-in.
+// Control sends a control command to a stub server.
 func (cluster *Cluster) Control(address, action string, body any) error {
 	call := sling.New().Client(cluster.client).Post("http://" + address + "/" + action)
 	if body != nil {
@@ -278,17 +280,17 @@
 	return errors.Trace(err)
 }
 
-// SetKeyValueFaults harms the key-value service.
+// SetKeyValueFaults sets the faults that the key-value service injects.
 func (cluster *Cluster) SetKeyValueFaults(faults kvstub.Faults) error {
 	return cluster.Control(cluster.KeyValue.Address, "control/faults", faults)
 }
 
-// SetMachine changes the machine list.
+// SetMachine changes one entry of the machine list.
 func (cluster *Cluster) SetMachine(machine machinestub.Machine) error {
 	return cluster.Control(cluster.Machines.Address, "machines", machine)
 }
 
-// AllReady reports whether every node serves.
+// AllReady reports whether every node accepts requests.
 func (cluster *Cluster) AllReady() bool {
 	for _, node := range cluster.Nodes {
 		if !cluster.get(node.Caller, "/readyz") {
@@ -298,17 +300,17 @@
 	return true
 }
 
-// Ready reports whether a node takes new work.
+// Ready reports whether a node accepts requests.
 func (cluster *Cluster) Ready(node int) bool {
 	return cluster.get(cluster.Nodes[node].Caller, "/readyz")
 }
 
-// Await polls until the condition holds.
+// await polls until the condition holds or readyTimeout has passed.
 func (cluster *Cluster) await(ctx context.Context, condition func() bool) error {
 	deadline := time.Now().Add(readyTimeout)
 	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errors.Errorf("the fleet did not become ready in %s; the first node printed:\n%s", readyTimeout, cluster.Nodes[0].Process.Output())
+			return errors.Errorf("fleet not ready after %s; output of the first node:\n%s", readyTimeout, cluster.Nodes[0].Process.Output())
 		}
 		time.Sleep(readyPause)
 	}
@@ -324,7 +326,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Stop ends every process that this cluster started.
+// Stop kills every process that the cluster started.
 func (cluster *Cluster) Stop() {
 	processes := []*Process{}
 	for _, node := range cluster.Nodes {
@@ -347,7 +349,8 @@
 	}
 }
 
-// Metric reads one metric without labels from a node, or 0.
+// Metric returns the value of a gauge without labels on a node, or 0 if it cannot
+// be read.
 func (cluster *Cluster) Metric(node int, name string) float64 {
 	response, err := cluster.client.Get("http://" + cluster.Nodes[node].Operator + "/metrics")
 	if err != nil {
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -1,5 +1,5 @@
-// Package cluster starts a fleet and its stand-ins as separate processes on
-// loopback, and harms them on demand.
+// Package cluster runs nodes and stub services as separate processes on loopback
+// addresses and injects faults into them on request.
 package cluster
 
 import (
@@ -18,7 +18,7 @@
 
 const killWait = 5 * time.Second
 
-// Process is one child.
+// Process is a child process.
 type Process struct {
 	name    string
 	command *exec.Cmd
@@ -26,7 +26,7 @@
 	output  *tail
 }
 
-// tail keeps the last output of a process for reports.
+// outputTail keeps the last maxTailBytes of a process's output for error messages.
 type tail struct {
 	mutex sync.Mutex
 	data  []byte
@@ -48,7 +48,7 @@
 	return len(data), nil
 }
 
-// start runs this program again with other arguments.
+// startSelf starts the running executable with other arguments.
 func start(name string, output io.Writer, arguments ...string) (*Process, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -57,8 +57,8 @@
 	return StartProgram(name, output, program, arguments...)
 }
 
-// StartProgram runs a program, which dies with this one. Output, which may be nil, gets a
-// copy of what it prints.
+// StartProgram starts a program that is killed when the current process dies. If output is
+// not nil, it receives a copy of what the program prints.
 func StartProgram(name string, output io.Writer, program string, arguments ...string) (*Process, error) {
 	process := &Process{name: name, command: exec.Command(program, arguments...), ended: make(chan struct{}), output: &tail{copy: output}}
 	process.command.Stderr = process.output
@@ -74,7 +74,7 @@
 	return process, nil
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (process *Process) Running() bool {
 	select {
 	case <-process.ended:
@@ -84,27 +84,27 @@
 	}
 }
 
-// Output is the end of what the process printed.
+// Output returns the last part of what the process printed.
 func (process *Process) Output() string {
 	process.output.mutex.Lock()
 	defer process.output.mutex.Unlock()
 	return string(process.output.data)
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process if it is running.
 func (process *Process) Signal(signal syscall.Signal) {
 	if process.Running() {
 		_ = process.command.Process.Signal(signal)
 	}
 }
 
-// Kill ends the process at once and waits for it.
+// Kill sends SIGKILL and waits for the process to exit.
 func (process *Process) Kill() {
 	process.Signal(syscall.SIGKILL)
 	process.Wait(killWait)
 }
 
-// Wait reports whether the process ended in time.
+// Wait waits for the process to exit and reports whether it did within the timeout.
 func (process *Process) Wait(limit time.Duration) bool {
 	select {
 	case <-process.ended:
@@ -114,8 +114,8 @@
 	}
 }
 
-// ResidentMemory is the process's resident set in bytes, or 0 when it cannot be
-// read.
+// ResidentMemory returns the resident set size of the process in bytes, or 0 if it
+// cannot be read.
 func (process *Process) ResidentMemory() int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.command.Process.Pid))
 	if err != nil {
