--- a/internal/lab/enginemodel/cache.go
+++ b/internal/lab/enginemodel/cache.go
@@ -1,6 +1,6 @@
-// Package enginemodel models an inference engine: continuous batching, prefill
-// and decode cost, and a prefix cache of limited memory. It is a pure state
-// machine in the caller's time, used by the HTTP stand-in and by experiments.
+// Package enginemodel models an inference engine: continuous batching, prefill and
+// decode cost, and a prefix cache of limited capacity. It is a state machine whose
+// clock is supplied by the caller, shared by the HTTP stub and the simulations.
 package enginemodel
 
 import (
@@ -19,9 +19,9 @@
 	place   *list.Element
 }
 
-// cache keeps blocks in order of use, most recent first. A chain is always
-// touched from its leaf to its root, so a parent is more recent than its
-// children and the least recent block is a leaf: eviction is leaf first.
+// cache is an LRU cache of blocks. A chain is always touched from its leaf to its
+// root, so a parent is more recently used than its children, the least recently used
+// block is a leaf, and blocks are evicted leaf first.
 type cache struct {
 	capacity    int
 	blocks      map[prefix.Hash]*block
@@ -35,7 +35,7 @@
 	return &cache{capacity: capacity, blocks: map[prefix.Hash]*block{}, order: list.New()}
 }
 
-// depth counts the leading blocks of the chain that are held.
+// depth returns the number of leading blocks of the chain that are cached.
 func (cache *cache) depth(chain []prefix.Hash) int {
 	for index, hash := range chain {
 		if _, held := cache.blocks[hash]; !held {
@@ -54,7 +54,7 @@
 	}
 }
 
-// pin keeps the held blocks of the chain from eviction; release undoes it.
+// pin protects the cached blocks of the chain from eviction; unpin reverts it.
 func (cache *cache) pin(chain []prefix.Hash) {
 	for _, hash := range chain {
 		if held, found := cache.blocks[hash]; found {
@@ -71,11 +71,12 @@
 	}
 }
 
-// store adds a computed chain. When memory is full of pinned blocks the rest
-// of the chain is not cached. New blocks are pinned until they are released.
+// insert adds a computed chain. If all cached blocks are pinned and the cache is
+// full, the rest of the chain is not cached. New blocks stay pinned until unpin.
 func (cache *cache) store(chain []prefix.Hash, now time.Time) {
 	cache.touch(chain, now)
-	// New blocks go in front of their parents; one more touch restores the order.
+	// New blocks are pushed in front of their parents; touching the chain again
+	// restores the order.
 	defer cache.touch(chain, now)
 	for index, hash := range chain {
 		if _, held := cache.blocks[hash]; held {
@@ -116,7 +117,7 @@
 	cache.events = append(cache.events, event)
 }
 
-// snapshot lists the blocks, parents before children.
+// snapshot returns the blocks, parents before children.
 func (cache *cache) snapshot() (sequence uint64, blocks []engineapi.CacheEvent) {
 	for place := cache.order.Front(); place != nil; place = place.Next() {
 		held := place.Value.(*block)
--- a/internal/lab/enginemodel/engine.go
+++ b/internal/lab/enginemodel/engine.go
@@ -8,48 +8,48 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Config sets an engine's speed and memory.
+// Config holds the speed and memory of an engine.
 type Config struct {
-	// StepTime is the least time one step takes.
+	// StepTime is the minimum duration of a step.
 	StepTime time.Duration
-	// PrefillTokensPerSecond is the speed of computing prompt tokens.
+	// PrefillTokensPerSecond is the rate at which prompt tokens are computed.
 	PrefillTokensPerSecond float64
-	// DecodeTokenTime is added to a step for each running sequence.
+	// DecodeTokenTime is added to a step for each sequence that decodes a token.
 	DecodeTokenTime time.Duration
-	// ChunkTokens bounds the prompt tokens computed in one step.
+	// ChunkTokens is the maximum number of prompt tokens computed in one step.
 	ChunkTokens int
-	// MaxRunning bounds the sequences in the batch.
+	// MaxRunning is the maximum number of sequences in the batch.
 	MaxRunning int
-	// CacheBlocks is the memory for cached blocks.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// BlockTokens is the size of one block.
+	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// ImportTokensPerSecond is the speed of taking blocks from the kept-KV store.
+	// ImportTokensPerSecond is the rate of importing blocks from the KV store.
 	ImportTokensPerSecond float64
 }
 
-// Request is one prompt to complete.
+// Request is a completion request.
 type Request struct {
 	ID           string
 	Chain        []prefix.Hash
 	PromptTokens int
 	OutputTokens int
 	Priority     int
-	// ImportBlocks is how many leading blocks the kept-KV store offers.
+	// ImportBlocks is the number of leading blocks available in the KV store.
 	ImportBlocks int
 }
 
-// Output is what one step did for one request.
+// Output is the token that a step produced for one request.
 type Output struct {
 	ID string
-	// Offset counts the request's tokens from 0.
+	// Offset is the index of the token, from 0.
 	Offset int
 	Done   bool
-	// RecomputedTokens, on the first token, counts prompt tokens not taken from
-	// the cache; HitBlocks counts blocks that were.
+	// RecomputedTokens is the number of prompt tokens that were computed, HitBlocks
+	// the number of blocks taken from the cache.
 	RecomputedTokens int
 	HitBlocks        int
-	// ImportedBlocks came from the kept-KV store.
+	// ImportedBlocks is the number of blocks imported from the KV store.
 	ImportedBlocks int
 }
 
@@ -58,15 +58,16 @@
 	pinned   []prefix.Hash
 	hit      int
 	imported int
-	// ready is when the import has ended.
-	ready    time.Time
+	// importDoneAt is when the import completes.
+	ready time.Time
+	// prefill is the number of prompt tokens to compute.
 	prefill  int
 	computed int
 	emitted  int
 	arrival  uint64
 }
 
-// Engine is the state machine.
+// Engine is the state machine of an engine.
 type Engine struct {
 	config   Config
 	cache    *cache
@@ -80,7 +81,7 @@
 	return &Engine{config: config, cache: newCache(config.CacheBlocks)}
 }
 
-// Submit queues a request, behind those of the same or a higher priority.
+// Submit queues a request behind those of the same or a higher priority.
 func (engine *Engine) Submit(request Request) {
 	engine.arrivals++
 	engine.waiting = append(engine.waiting, &sequence{request: request, arrival: engine.arrivals})
@@ -89,7 +90,7 @@
 	})
 }
 
-// Cancel forgets a request.
+// Cancel removes a request from the queue or the batch.
 func (engine *Engine) Cancel(id string) {
 	engine.waiting = engine.without(engine.waiting, id)
 	engine.running = engine.without(engine.running, id)
@@ -107,19 +108,19 @@
 	return kept
 }
 
-// Idle reports whether a step would do nothing.
+// Idle reports whether no request is waiting or running.
 func (engine *Engine) Idle() bool {
 	return len(engine.waiting) == 0 && len(engine.running) == 0
 }
 
-// Depth counts the leading blocks of the chain that the cache holds.
+// Depth returns the number of leading blocks of the chain that are cached.
 func (engine *Engine) Depth(chain []prefix.Hash) int {
 	return engine.cache.depth(chain)
 }
 
-// Step admits waiting requests, computes one chunk of prompts and one token of
-// each sequence that is past its prompt. It returns how long that took; outputs
-// become visible at the end of it.
+// Step admits waiting requests, computes one chunk of prompt tokens, and decodes one
+// token of each sequence whose prefill is complete. It returns the duration of the
+// step; the outputs become visible at its end.
 func (engine *Engine) Step(now time.Time) (time.Duration, []Output) {
 	engine.admit(now)
 	prefilled := engine.prefill(now)
@@ -145,8 +146,8 @@
 	return elapsed, outputs
 }
 
-// admit moves waiting requests into the batch; the cache is looked up then,
-// since blocks may be evicted or computed while a request waits.
+// admit moves waiting requests into the batch. The cache is looked up here rather
+// than in Submit, since blocks may be evicted or computed while a request waits.
 func (engine *Engine) admit(now time.Time) {
 	for len(engine.waiting) > 0 && len(engine.running) < engine.config.MaxRunning {
 		item := engine.waiting[0]
@@ -165,13 +166,13 @@
 	}
 }
 
-// prefill computes one chunk of prompts and caches each block once it is whole.
+// prefill computes one chunk of prompt tokens and caches each completed block.
 func (engine *Engine) prefill(now time.Time) int {
 	budget := engine.config.ChunkTokens
 	for _, item := range engine.running {
 		share := min(budget, item.prefill-item.computed)
 		if share == 0 || now.Before(item.ready) {
-			// An import runs beside the computation of others.
+			// An import runs concurrently with the prefill of other sequences.
 			continue
 		}
 		before := item.computed / engine.config.BlockTokens
@@ -192,7 +193,7 @@
 	engine.cache.release(chain[held:])
 }
 
-// Load reports the work at hand.
+// Load returns the current load.
 func (engine *Engine) Load() engineapi.Load {
 	load := engineapi.Load{Running: len(engine.running), Waiting: len(engine.waiting), EvictionAgeSeconds: engine.cache.evictionAge.Seconds()}
 	for _, item := range engine.running {
@@ -211,12 +212,12 @@
 	return events
 }
 
-// Snapshot lists the cached blocks, parents before children.
+// Snapshot returns the cached blocks, parents before children.
 func (engine *Engine) Snapshot() (sequence uint64, blocks []engineapi.CacheEvent) {
 	return engine.cache.snapshot()
 }
 
-// Standard returns the setup of an engine of the given speed.
+// StandardConfig returns the configuration of an engine of the given speed.
 func Standard(step time.Duration, prefillTokensPerSecond float64) Config {
 	return Config{
 		StepTime:               step,
--- a/internal/lab/enginemodel/kept.go
+++ b/internal/lab/enginemodel/kvstore.go
@@ -7,36 +7,36 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Kept models the platform's store of kept KV cache: much larger and slower than
-// an engine's own memory, and shared by all engines.
+// KVStore models the platform's external KV-cache store, which is much larger and
+// slower than the memory of an engine and shared by all engines.
 type Kept struct {
 	cache *cache
 }
 
-// NewKept returns an empty store of the given capacity in blocks.
+// NewKVStore returns an empty store with the given capacity in blocks.
 func NewKept(capacity int) *Kept { return &Kept{cache: newCache(capacity)} }
 
-// Store keeps the blocks of a chain.
+// Store adds the blocks of a chain.
 func (kept *Kept) Store(chain []prefix.Hash, now time.Time) {
 	held := kept.cache.depth(chain)
 	kept.cache.store(chain, now)
 	kept.cache.release(chain[held:])
 }
 
-// Depth counts the leading blocks of the chain that are kept.
+// Depth returns the number of leading blocks of the chain that are stored.
 func (kept *Kept) Depth(chain []prefix.Hash) int { return kept.cache.depth(chain) }
 
-// Touch notes a use of the kept blocks of a chain.
+// Touch marks the stored blocks of a chain as used.
 func (kept *Kept) Touch(chain []prefix.Hash, now time.Time) { kept.cache.touch(chain, now) }
 
-// TakeEvents returns the events since the last call.
+// TakeEvents returns the cache events since the last call.
 func (kept *Kept) TakeEvents() []engineapi.CacheEvent {
 	events := kept.cache.events
 	kept.cache.events = nil
 	return events
 }
 
-// Snapshot lists the kept blocks.
+// Snapshot returns the stored blocks, parents before children.
 func (kept *Kept) Snapshot() (sequence uint64, blocks []engineapi.CacheEvent) {
 	return kept.cache.snapshot()
 }
