--- a/internal/lab/enginestub/work.go
+++ b/internal/lab/enginestub/completions.go
@@ -65,18 +65,20 @@
 	}
 }
 
-// work is what a request asks of the engine.
+// preparedRequest is a decoded completion request with its block chain.
 type work struct {
-	// prompt of the caller, and with what another engine has added to it.
+	// prompt is the prompt of the caller; input also includes the text that another
+	// engine has already generated.
 	prompt []byte
 	text   []byte
 	chain  []prefix.Hash
-	// version that the import below was checked for.
+	// version is the model version for which importBlocks was determined.
 	version      string
 	importBlocks int
 }
 
-// prepare reads a request and fetches what it may import. Nothing starts here.
+// prepare computes the block chain of a request and fetches the blocks that it may
+// import. It does not start the request.
 func (server *Server) prepare(message *engineapi.CompletionRequest) work {
 	prepared := work{prompt: message.PromptText()}
 	prepared.text = prepared.prompt
@@ -118,8 +120,8 @@
 	return opened
 }
 
-// send writes a stream's events from an offset on until its end, a crash, or
-// the caller's departure. Only one writer need be connected at a time.
+// writeStream writes the events of a stream from an offset on until the stream ends, the
+// engine crashes, or the client disconnects. It supports one client at a time.
 func (server *Server) send(writer http.ResponseWriter, request *http.Request, source *stream, next int) {
 	server.mutex.Lock()
 	crashes := server.crashes
--- a/internal/lab/enginestub/side.go
+++ b/internal/lab/enginestub/control.go
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/weightstub"
 )
 
-// fetchWeights takes as long as the store does; a failing store is asked again.
+// fetchWeights fetches weights from the store and retries until it succeeds.
 func (server *Server) fetchWeights() {
 	for {
 		response, err := http.Post("http://"+server.config.WeightStore+weightstub.Path, "", nil)
@@ -24,10 +24,10 @@
 	}
 }
 
-// weightRetry is the pause before a failing store is asked again.
+// weightRetryDelay is the delay before a failed fetch of weights is retried.
 const weightRetry = 100 * time.Millisecond
 
-// loaded ends a load; a later order for the model makes an earlier one moot.
+// finishLoad completes a load. Its version is used only if no later order has arrived.
 func (server *Server) loaded(order engineapi.Order) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -70,7 +70,7 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if order.Token < server.orderToken {
-		http.Error(writer, fmt.Sprintf("token %d is below %d", order.Token, server.orderToken), http.StatusConflict)
+		http.Error(writer, fmt.Sprintf("stale order token %d: the latest is %d", order.Token, server.orderToken), http.StatusConflict)
 		return
 	}
 	server.orderToken = order.Token
@@ -98,7 +98,7 @@
 	case "thaw":
 		server.SetFrozen(false)
 	default:
-		http.Error(writer, "unknown action "+strings.ToValidUTF8(action, "?"), http.StatusNotFound)
+		http.Error(writer, "unknown control action "+strings.ToValidUTF8(action, "?"), http.StatusNotFound)
 	}
 }
 
--- a/internal/lab/enginestub/server.go
+++ b/internal/lab/enginestub/server.go
@@ -1,5 +1,6 @@
-// Package enginestub stands in for an inference engine over HTTP. It drives the
-// engine model in real time and can crash, lose events, leave and be fenced.
+// Package enginestub implements a stub inference engine over HTTP. It runs the engine
+// model in real time and can simulate crashes, lost cache events, draining and fenced
+// orders.
 package enginestub
 
 import (
@@ -20,31 +21,31 @@
 	bytesPerToken       = 4
 )
 
-// Config sets up the stand-in.
+// Config holds the settings of the stub.
 type Config struct {
 	Model enginemodel.Config
-	// BlockBytes is the prompt text of one block.
+	// BlockBytes is the number of prompt bytes in a block.
 	BlockBytes int
-	// Weights is the loaded version of each model.
+	// Weights maps each model to its loaded version.
 	Weights map[string]string
-	// EventGap is the share of cache events that are lost.
+	// EventLossRate is the fraction of cache events that are dropped.
 	EventGap float64
-	// WeightStore is the address new weights are fetched from.
+	// WeightStore is the address from which new weights are fetched.
 	WeightStore string
 }
 
-// Execution is one line of the engine's own log: a request that it started.
+// Execution is an entry of the engine's log of started requests.
 type Execution struct {
 	Attempt string `json:"attempt"`
 	User    string `json:"user"`
 	Salt    string `json:"salt"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// At is when the engine started it.
+	// At is when the engine started the request.
 	At time.Time `json:"at"`
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
@@ -65,7 +66,7 @@
 	crashes    chan struct{}
 }
 
-// New starts the stand-in's engine.
+// New returns a stub and starts its engine.
 func New(config Config) *Server {
 	server := &Server{config: config, mux: http.NewServeMux(), weights: map[string]string{}}
 	for model, version := range config.Weights {
@@ -87,7 +88,7 @@
 	return server
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the engine API and the control endpoints.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
@@ -103,7 +104,7 @@
 	server.crashes = make(chan struct{})
 }
 
-// Crash loses everything and comes back empty under the same address.
+// Crash simulates a restart at the same address: all state is lost.
 func (server *Server) Crash() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -111,21 +112,21 @@
 	server.changed.Broadcast()
 }
 
-// SetLeaving makes the engine refuse new work.
+// SetDraining makes the engine reject new requests.
 func (server *Server) SetLeaving(leaving bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.leaving = leaving
 }
 
-// SetWeights loads another version at once.
+// SetWeights switches a model to another version without loading time.
 func (server *Server) SetWeights(model, version string) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.weights[model] = version
 }
 
-// SetFrozen stops or continues the engine's steps.
+// SetFrozen suspends or resumes the engine's steps.
 func (server *Server) SetFrozen(frozen bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -133,8 +134,8 @@
 	server.changed.Broadcast()
 }
 
-// SetMute makes the engine take dispatches without ever answering them, while
-// its other endpoints work.
+// SetUnresponsive makes the engine accept completion requests without ever responding,
+// while its other endpoints work.
 func (server *Server) SetMute(mute bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -148,7 +149,7 @@
 	return append([]Execution(nil), server.executions...)
 }
 
-// run steps the engine in real time.
+// run executes the engine's steps in real time.
 func (server *Server) run() {
 	for {
 		server.mutex.Lock()
--- a/internal/lab/enginestub/stream.go
+++ b/internal/lab/enginestub/stream.go
@@ -13,7 +13,8 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// stream keeps the events of one attempt, so that a cut connection can resume.
+// stream keeps the events of one attempt so that a client can resume it after its
+// connection breaks.
 type stream struct {
 	attempt string
 	epoch   string
@@ -23,7 +24,7 @@
 	prompt  int
 	chain   []prefix.Hash
 	created int64
-	// base is the offset of the first event; lower ones came from another engine.
+	// firstOffset is the offset of the first event; another engine produced those below.
 	base int
 
 	mutex   sync.Mutex
@@ -45,14 +46,14 @@
 	}
 }
 
-// Token is the text at an offset. It depends on the prompt and the seed alone,
-// as with seeded sampling, so any engine continues a stream alike.
+// Token returns the token at an offset. As with seeded sampling, it depends only on the
+// prompt and the seed, so every engine continues a stream with the same text.
 func Token(content uint64, offset int) string {
 	return fmt.Sprintf(" w%d", (content>>(offset%48))%9973+uint64(offset))
 }
 
-// after returns the events from an offset on, and a channel that closes when
-// there are more.
+// eventsFrom returns the events from an offset on and a channel that is closed when
+// further events arrive.
 func (stream *stream) after(next int) (events [][]byte, done bool, changed chan struct{}) {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
--- a/internal/lab/enginestub/transfer.go
+++ b/internal/lab/enginestub/transfer.go
@@ -15,14 +15,15 @@
 
 var transferClient = &http.Client{Timeout: transferTimeout}
 
-// identityOf labels kept blocks with what they were computed for.
+// blockIdentity returns the label under which blocks are stored. It identifies the
+// cache salt and the model version that they were computed with.
 func identityOf(salt, version string) string {
 	return fmt.Sprintf("%016x", uint64(prefix.KeyOf(salt+"@"+version)))
 }
 
-// importable asks the store for the blocks that the request may import. It
-// counts the leading ones whose identity is the request's own; a store that
-// fails, or answers with other blocks, only costs the recomputation.
+// importableBlocks fetches the blocks that the request may import from the KV store and
+// returns the number of leading ones whose identity matches the request. If the store
+// fails or returns other blocks, they are recomputed.
 func importable(message *engineapi.CompletionRequest, version string, chain []prefix.Hash) int {
 	if message.Transfer == nil || message.Transfer.ImportBlocks == 0 {
 		return 0
@@ -45,12 +46,12 @@
 	return len(found.Blocks)
 }
 
-// export gives the blocks of a computed prompt to the store.
+// exportBlocks saves the blocks of a computed prompt to the KV store.
 func export(store, identity string, chain []prefix.Hash) {
 	message := engineapi.KeptBlocks{}
 	for _, block := range chain {
 		message.Blocks = append(message.Blocks, engineapi.KeptBlock{Block: block, Identity: identity})
 	}
-	// A lost export costs a later recomputation, nothing else.
+	// Errors are ignored: blocks that are not saved are recomputed later.
 	_, _ = sling.New().Client(transferClient).Post("http://" + store + engineapi.PathKeptStore).BodyJSON(message).ReceiveSuccess(nil)
 }
