--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -28,8 +28,9 @@
 	require.Equal(t, string(first), string(second))
 }
 
-// The aims of docs/decisions/routing.md that are met, in virtual time, so that a
-// change of the scorers that gives them up is seen.
+// TestKuusistoRecomputationStaysNearOracle and TestDakarTailLatencyStaysNearOracle check the
+// goals of docs/decisions/routing.md that are met, in virtual time. They detect changes of
+// the scorers that miss these goals again.
 func TestKuusistoRecomputesLittle(t *testing.T) {
 	policies := reportOf(t, "kuusisto", 1, "cloverrail", "rendezvous", "oracle")
 	ours := float64(policies["cloverrail"].RecomputedTokens)
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -18,9 +18,9 @@
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// labelRotation, in radians, keeps the policies' names apart.
+	// labelRotation, in radians, keeps the labels of policies from overlapping.
 	labelRotation = 0.5
-	// curvePoints of each distribution are drawn.
+	// curvePoints is the number of points in the curve of a distribution.
 	curvePoints = 200
 )
 
@@ -35,10 +35,10 @@
 <p><img src="first-token.png" alt="distribution of the time to first token"></p>
 `))
 
-// WritePage writes the report as a page with plots into a folder.
+// WritePage writes the report as an HTML page with plots into a directory.
 func WritePage(directory string, report Report) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return errors.Annotate(err, "name a folder that can be written")
+		return errors.Annotate(err, "cannot create the report directory; choose a writable path")
 	}
 	if err := drawRecomputed(filepath.Join(directory, "recomputed.png"), report); err != nil {
 		return err
--- a/internal/lab/experiment/policy.go
+++ b/internal/lab/experiment/policy.go
@@ -7,19 +7,19 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// policy chooses an engine for a request as one node sees the fleet.
+// policy chooses an engine for a request from one node's view of the fleet.
 type policy interface {
 	name() string
-	// perfect policies see the engines' true state at once.
+	// perfectInformation reports whether the policy sees the true state of the engines.
 	perfect() bool
-	// imports says that the policy takes blocks from the kept-KV store.
+	// importsBlocks reports whether the policy imports blocks from the KV store.
 	imports() bool
 	choose(node int, request *routing.Request, candidates []routing.Candidate) int
 }
 
 // PolicyNames lists the policies in the order in which they are reported.
-// Policies whose name ends in +import use the kept-KV store; cloverrail and the
-// oracle do too, cloverrail-no-import does not.
+// Policies whose name ends in +import use the KV store, as do cloverrail and oracle;
+// cloverrail-no-import does not.
 var PolicyNames = []string{"cloverrail", "cloverrail-no-import", "random", "round-robin", "least-loaded", "rendezvous", "rendezvous+import", "longest-prefix", "oracle"}
 
 func newPolicy(name string, profile Profile, seed uint64) policy {
@@ -43,8 +43,8 @@
 	}
 }
 
-// scheduled is the product's own scheduler, with a node's knowledge or, as the
-// oracle, with perfect knowledge.
+// schedulerPolicy uses cloverrail's scheduler with a node's view of the fleet or, as the
+// oracle, with perfect information.
 type scheduled struct {
 	title     string
 	oracle    bool
@@ -111,7 +111,8 @@
 	return best(candidates, func(candidate *routing.Candidate) float64 { return float64(candidate.HitBlocks) })
 }
 
-// best returns the candidate of the highest value, ties by rendezvous.
+// bestCandidate returns the index of the candidate with the highest value and breaks ties
+// by rendezvous hashing.
 func best(candidates []routing.Candidate, value func(*routing.Candidate) float64) int {
 	chosen := 0
 	for index := range candidates {
@@ -123,8 +124,9 @@
 	return chosen
 }
 
-// keyOf is the rendezvous key of a prompt. Baselines that have no index hash
-// deeper than the tenant's rules, as a careful operator would set them up.
+// rendezvousKey returns the rendezvous key of a prompt: the hash of its first depth
+// blocks. Baselines without an index use a depth beyond the tenant's system prompt, as in
+// a well-configured deployment.
 func keyOf(chain []prefix.Hash, depth int) prefix.Hash {
 	return chain[min(len(chain), depth)-1]
 }
--- a/internal/lab/experiment/profile.go
+++ b/internal/lab/experiment/profile.go
@@ -1,6 +1,6 @@
-// Package experiment compares routing policies in virtual time: the decision
-// packages of a node, the engine model of the stand-ins, and workloads with long
-// nested prefixes. The same seed gives the same figures.
+// Package experiment compares routing policies in a discrete-event simulation. It runs
+// the routing packages of a node against the engine model of the stubs, with workloads of
+// long nested prefixes. The same seed gives the same results.
 package experiment
 
 import (
@@ -11,75 +11,78 @@
 	"github.com/cloverrail/cloverrail/internal/lab/enginemodel"
 )
 
-// Profile is one operator's fleet and workload.
+// Profile describes a fleet and its workload.
 type Profile struct {
 	Name    string
 	Engines int
 	Nodes   int
 	Engine  enginemodel.Config
-	// OneWay is the latency between zones.
+	// OneWayDelay is the one-way network latency between zones.
 	OneWay     time.Duration
 	WaitWeight float64
 	WorkWeight float64
-	// Duration of arrivals, and their mean rate a second.
+	// Requests arrive for Duration at a mean Rate per second.
 	Duration time.Duration
 	Rate     float64
-	// Bursts multiply the rate for a while, at regular intervals.
+	// Every BurstEvery, the rate is multiplied by BurstFactor for BurstLength.
 	BurstEvery  time.Duration
 	BurstLength time.Duration
 	BurstFactor float64
-	// ShiftEvery is how often other prefixes become hot, without warning.
+	// ShiftEvery is the interval at which the popularity of prefixes changes abruptly.
 	ShiftEvery time.Duration
-	// CrashEvery is how often an engine comes back empty.
+	// CrashEvery is the interval at which an engine crashes and loses its cache.
 	CrashEvery time.Duration
 	Workload   Workload
-	// LoadView says how nodes learn of engines' loads.
+	// LoadPropagation determines how nodes learn the load of engines.
 	LoadView LoadView
-	// KeptBlocks is the capacity of the kept-KV store.
+	// KVStoreBlocks is the capacity of the KV store in blocks.
 	KeptBlocks int
-	// EventLag is the most that cache events and load reports are late, and
-	// EventGap the share of events lost.
+	// MaxEventDelay is the maximum delay of cache events and load reports,
+	// EventLossRate the fraction of cache events that are lost.
 	EventLag time.Duration
 	EventGap float64
 }
 
-// LoadView is a way for nodes to learn of engines' loads.
+// LoadPropagation is a way for nodes to learn the load of engines.
 type LoadView string
 
-// The ways, as fleets of different sizes can afford them.
+// The cost of propagation limits which mode suits a fleet of a given size.
 const (
-	// LoadsToAll sends every report to every node, as in a small fleet.
+	// LoadsBroadcast sends every report to every node, as in a small fleet.
 	LoadsToAll LoadView = "all"
-	// LoadsByLookup brings only the loads of engines that hold some of the prompt,
-	// with the index's answer.
+	// LoadsWithLookup returns the loads of the engines that cache part of a prompt with
+	// the index lookup, and no others.
 	LoadsByLookup LoadView = "lookup"
 )
 
-// Workload sets the shape of prompts.
+// Workload describes the distribution of prompts.
 type Workload struct {
 	Tenants int
-	// Skew of the sizes of tenants and of the heat of stories (Zipf exponents).
+	// TenantSkew and ContextSkew are the Zipf exponents of the request rates of tenants
+	// and of the popularity of their contexts.
 	TenantSkew float64
 	StorySkew  float64
-	// Stories are the long shared contexts of one tenant: campaign histories, or
-	// catalogues of stations.
+	// Contexts is the number of long shared contexts of a tenant, such as campaign
+	// histories or station catalogs.
 	Stories int
-	// RuleBlocks all requests of a tenant share; StoryBlocks the requests of one
-	// story, at least and at most; BranchBlocks those of one line of it.
+	// All requests of a tenant share SystemPromptBlocks. Those with the same context
+	// share MinContextBlocks to MaxContextBlocks more, and those on the same branch of
+	// it another BranchBlocks.
 	RuleBlocks   int
 	StoryLeast   int
 	StoryMost    int
 	Branches     int
 	BranchBlocks int
-	// HeavyShare of requests read a whole story; the others only the rules.
+	// LongPromptShare is the fraction of requests whose prompt includes a context; the
+	// prompts of the others consist of the system prompt.
 	HeavyShare  float64
 	HeavyOutput int
 	LightOutput int
-	// OwnTokens of each prompt are shared with nobody.
+	// UniqueTokens is the number of tokens of each prompt that no other prompt shares.
 	OwnTokens int
 }
 
-// Profiles lists the profiles by name.
+// Profiles returns all profiles.
 func Profiles() []Profile {
 	kuusisto := Profile{
 		Name: "kuusisto", Engines: 18, Nodes: 6, Engine: enginemodel.Standard(6*time.Millisecond, 20_000),
@@ -114,9 +117,9 @@
 	return []Profile{kuusisto, dakar, plan()}
 }
 
-// plan is one of 31 models at the size designed for: 23 servers of eight
-// accelerators, asked by all 340 nodes, each of which sees a request for the model
-// only every three seconds.
+// planProfile returns the profile of one of 31 models at the target size of a fleet: 23
+// servers of eight accelerators and 340 nodes, each of which receives a request for the
+// model only every three seconds.
 func plan() Profile {
 	profile := Profile{
 		Name: "plan", Engines: 23, Nodes: 340, Engine: enginemodel.Standard(6*time.Millisecond, 200_000),
@@ -136,12 +139,12 @@
 	return profile
 }
 
-// ProfileOf finds a profile.
+// FindProfile returns the profile with the given name.
 func ProfileOf(name string) (Profile, error) {
 	for _, profile := range Profiles() {
 		if profile.Name == name {
 			return profile, nil
 		}
 	}
-	return Profile{}, errors.Errorf("%q is not a profile; use kuusisto, dakar or plan", name)
+	return Profile{}, errors.Errorf("unknown profile %q; use kuusisto, dakar or plan", name)
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// PolicyReport is the figures of one policy.
+// PolicyReport holds the results of one policy.
 type PolicyReport struct {
 	Name                 string  `json:"name"`
 	Requests             int     `json:"requests"`
@@ -18,21 +18,21 @@
 	FirstTokenP99        float64 `json:"ttft_p99_ms"`
 	BetweenTokensP95     float64 `json:"tbt_p95_ms"`
 	Refused              int     `json:"refused"`
-	// ImportedTokens came from the kept-KV store.
+	// ImportedTokens is the number of prompt tokens imported from the KV store.
 	ImportedTokens int `json:"imported_tokens"`
-	// FirstTokens are sorted times, for plots.
+	// FirstTokenTimes are the times to first token in ascending order, for plots.
 	FirstTokens []time.Duration `json:"-"`
 }
 
-// Report is the figures of one run.
+// Report holds the results of one run.
 type Report struct {
 	Profile  string         `json:"profile"`
 	Seed     uint64         `json:"seed"`
 	Policies []PolicyReport `json:"policies"`
 }
 
-// Run compares policies on the same workload. Each policy runs by itself, so
-// they may run side by side without changing each other's figures.
+// Run compares policies on the same workload. The simulations share no state, so running
+// them concurrently does not affect their results.
 func Run(profile Profile, names []string, seed uint64) Report {
 	report := Report{Profile: profile.Name, Seed: seed, Policies: make([]PolicyReport, len(names))}
 	var done sync.WaitGroup
@@ -76,7 +76,7 @@
 	}
 }
 
-// quantile returns milliseconds.
+// quantile returns a quantile of sorted durations in milliseconds.
 func quantile(sorted []time.Duration, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -85,7 +85,7 @@
 	return round(float64(sorted[index]) / float64(time.Millisecond))
 }
 
-// round keeps four decimals, so that figures read well and compare equal.
+// round rounds to four decimals, so that results are readable and comparable.
 func round(value float64) float64 {
 	return float64(int64(value*10_000+0.5)) / 10_000
 }
--- a/internal/lab/experiment/simulation.go
+++ b/internal/lab/experiment/simulation.go
@@ -25,10 +25,10 @@
 	exportLag    = 500 * time.Millisecond
 )
 
-// start is when virtual time starts.
+// startTime is the time at which virtual time starts.
 var start = time.Unix(1_800_000_000, 0)
 
-// simulatedEngine is one engine with its reader.
+// simulatedEngine is an engine with its event reader.
 type simulatedEngine struct {
 	name     string
 	number   int
@@ -36,16 +36,16 @@
 	engine   *enginemodel.Engine
 	stepping bool
 	reader   *eventreader.Reader
-	// log holds events that the reader has not read, already thinned by gaps.
+	// eventLog holds the events that the reader has not read yet, without lost ones.
 	log []engineapi.CacheEvent
-	// reported is the load that the engine's reader knows.
+	// knownLoad is the load last reported by the engine's reader.
 	reported   engineapi.Load
 	reportedAt time.Time
-	// open are the requests on the engine.
+	// inFlight maps request IDs to the requests on the engine.
 	open map[string]*flight
 }
 
-// flight is one request under way.
+// activeRequest is a request that has been sent to an engine.
 type flight struct {
 	arrival *arrival
 	node    int
@@ -54,7 +54,7 @@
 	last    time.Duration
 }
 
-// simulation is one run of one policy.
+// simulation is a run of one policy.
 type simulation struct {
 	profile Profile
 	policy  policy
@@ -64,9 +64,9 @@
 	engines []*simulatedEngine
 	tables  []*endpoint.Table
 	index   *prefixindex.Index
-	// expected is each node's memory of where it sent prompts.
+	// expected records for each node where it recently sent prompts.
 	expected []*prefixindex.Expected
-	// scheduler annotates for every policy.
+	// scheduler annotates candidates for all policies.
 	scheduler *routing.Scheduler
 	kept      *enginemodel.Kept
 	result    result
@@ -110,7 +110,7 @@
 	run.agenda.Add(start.Add(when), do)
 }
 
-// announce tells all nodes of an engine's incarnation.
+// announceIncarnation publishes the current incarnation of an engine to all nodes.
 func (run *simulation) announce(engine *simulatedEngine) {
 	for _, table := range run.tables {
 		table.Merge(endpoint.Record{Name: engine.name, Version: uint64(engine.epoch + 1), Epoch: engine.epochName(), Weights: map[string]string{modelName: "v"}})
@@ -139,7 +139,7 @@
 	return run.result
 }
 
-// place lets a node decide, and sends the request on its way.
+// placeRequest lets the request's node choose an engine and sends the request to it.
 func (run *simulation) place(request *arrival) {
 	table := run.tables[request.node]
 	candidates := run.survey(request, table)
@@ -162,8 +162,8 @@
 	run.at(run.now+run.profile.OneWay, func() { run.submit(travelling) })
 }
 
-// survey collects what the node knows of the engines, or for a perfect policy
-// what is true.
+// collectCandidates returns the engines as the node knows them, or in their true state
+// for policies with perfect information.
 func (run *simulation) survey(request *arrival, table *endpoint.Table) []routing.Candidate {
 	depths := run.index.Lookup(nil, request.chain)
 	if run.profile.LoadView == LoadsByLookup {
@@ -188,7 +188,7 @@
 	return scheduled
 }
 
-// reveal gives the candidates the engines' true state, and no lag.
+// revealTrueState sets the candidates to the current state of the engines, without delay.
 func (run *simulation) reveal(candidates []routing.Candidate, chain []prefix.Hash) {
 	for index := range candidates {
 		engine := run.engines[index]
@@ -208,7 +208,7 @@
 	run.step(engine)
 }
 
-// step runs the engine's steps one after another while it has work.
+// stepEngine runs the engine's steps one after another until it is idle.
 func (run *simulation) step(engine *simulatedEngine) {
 	if engine.stepping || engine.engine.Idle() {
 		return
@@ -229,7 +229,7 @@
 	})
 }
 
-// publish moves cache events to the log, losing some.
+// logEvents appends the engine's new cache events to its log and drops some at random.
 func (run *simulation) publish(engine *simulatedEngine) {
 	for _, event := range engine.engine.TakeEvents() {
 		if run.random.Float64() >= run.profile.EventGap {
@@ -261,7 +261,7 @@
 	}
 }
 
-// crash brings an engine back empty; its requests are placed again.
+// crashEngine restarts an engine with an empty cache and places its requests again.
 func (run *simulation) crash(engine *simulatedEngine) {
 	engine.epoch++
 	engine.engine = enginemodel.New(run.profile.Engine)
@@ -280,8 +280,8 @@
 	}
 }
 
-// read is one read of the engine's reader; what it brings is known to the nodes
-// after a lag.
+// readEvents reads the engine's event log once. The nodes see the result after a random
+// delay.
 func (run *simulation) read(engine *simulatedEngine) {
 	batch := engineapi.EventBatch{Epoch: engine.epochName(), Runs: engineapi.Pack(engine.log), Load: engine.engine.Load()}
 	engine.log = nil
@@ -305,10 +305,10 @@
 	run.at(run.now+readInterval, func() { run.read(engine) })
 }
 
-// keptName names the kept-KV store among the index's holders.
+// kvStoreName is the name of the KV store among the holders of the index.
 const keptName = "kept"
 
-// export sends the blocks of a request, once computed, to the kept-KV store.
+// exportBlocks saves the computed blocks of a request to the KV store after exportDelay.
 func (run *simulation) export(request *arrival) {
 	run.at(run.now+exportLag, func() {
 		run.kept.Store(request.chain, run.clock())
@@ -328,7 +328,7 @@
 	return update
 }
 
-// offered is how many blocks the request may import at the engine.
+// importableBlocks returns the number of blocks that the request may import.
 func (run *simulation) offered(request *arrival) int {
 	if !run.policy.imports() {
 		return 0
@@ -337,7 +337,7 @@
 	return run.kept.Depth(request.chain)
 }
 
-// learnLoads gives a node the loads that come with the index's answer.
+// reportLoads gives a node the loads that are returned with an index lookup.
 func (run *simulation) learnLoads(table *endpoint.Table, depths []prefixindex.Depth) {
 	for _, depth := range depths {
 		for _, engine := range run.engines {
--- a/internal/lab/experiment/workload.go
+++ b/internal/lab/experiment/workload.go
@@ -9,7 +9,7 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// arrival is one request of the workload.
+// workloadRequest is a request of the workload.
 type arrival struct {
 	id     string
 	at     time.Duration
@@ -19,13 +19,13 @@
 	output int
 }
 
-// crash is an engine that comes back empty.
+// crash is a restart of an engine that empties its cache.
 type crash struct {
 	at     time.Duration
 	engine int
 }
 
-// zipf draws ranks with weights 1/(rank+1)^skew.
+// zipf is a distribution of ranks with weights 1/(rank+1)^skew.
 type zipf struct {
 	cumulative []float64
 }
@@ -54,7 +54,8 @@
 	return low
 }
 
-// arrivals makes the whole workload of a run, the same for every policy.
+// generateWorkload returns the requests and crashes of a run, which are the same for
+// every policy.
 func arrivals(profile Profile, seed uint64) ([]arrival, []crash) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	work := profile.Workload
@@ -100,8 +101,8 @@
 	return profile.Rate
 }
 
-// chainOf names the blocks of a prompt: the tenant's rules, then the story, then
-// one line of it.
+// promptChain returns the block hashes of a prompt: the tenant's system prompt and, for a
+// long prompt, a shared context and one branch of it.
 func chainOf(work Workload, tenant, story, branch int, heavy bool) []prefix.Hash {
 	chain := []prefix.Hash{}
 	last := prefix.KeyOf(fmt.Sprint("tenant ", tenant))
