--- a/internal/lab/faults/harm.go
+++ b/internal/lab/faults/inject.go
@@ -14,7 +14,8 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// harmNode opens an interval of harm; the returned function closes it.
+// beginDisruption records that a node is disrupted from now on; the returned function ends
+// the disruption.
 func (run *run) harmNode(node int) func() {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
@@ -33,12 +34,12 @@
 	return run.cluster.Engines[run.random.IntN(len(run.cluster.Engines))]
 }
 
-// restartNode starts a node again and times its first answer.
+// restartNode restarts a node and measures the time to its first token.
 func (run *run) restartNode(node int) {
 	begin := time.Now()
 	tries := []string{}
 	if err := run.cluster.StartNode(node); err != nil {
-		run.note("a node did not start: %v", err)
+		run.note("cannot restart a node: %v", err)
 		return
 	}
 	for time.Since(begin) < settleTime {
@@ -52,7 +53,7 @@
 		}
 		time.Sleep(pollPause / 5)
 	}
-	run.note("a restarted node gave no answer within %s", settleTime)
+	run.note("a restarted node served no request within %s", settleTime)
 }
 
 func (run *run) killNode(ctx context.Context) {
@@ -69,7 +70,7 @@
 	process := run.cluster.Nodes[node].Process
 	process.Signal(syscall.SIGTERM)
 	if !process.Wait(20 * time.Second) {
-		run.note("a planned stop did not end")
+		run.note("a graceful shutdown did not finish in time")
 		process.Kill()
 	}
 	over := run.harmNode(node)
@@ -115,7 +116,7 @@
 	engine.Process.Kill()
 	pause.For(ctx, restartPause)
 	if err := run.cluster.StartEngine(engine); err != nil {
-		run.note("an engine did not start: %v", err)
+		run.note("cannot restart an engine: %v", err)
 	}
 }
 
@@ -126,8 +127,8 @@
 	engine.Process.Signal(syscall.SIGCONT)
 }
 
-// leaveEngine drains an engine by the operator's command, so that the engine
-// itself does not refuse and every dispatch to it would show.
+// drainEngine drains an engine by an operator statement. The engine itself does not reject
+// requests, so its log shows every dispatch that ignores the drain.
 func (run *run) leaveEngine(ctx context.Context) {
 	engine := run.anyEngine()
 	if !run.command(ctx, "drain engine "+engine.Name) {
@@ -144,7 +145,8 @@
 	run.command(ctx, "readmit engine "+engine.Name)
 }
 
-// command runs a statement through any node and reports whether it is in force.
+// execute runs an operator statement through a random node, with retries, and reports
+// whether the change was accepted.
 func (run *run) command(ctx context.Context, statement string) bool {
 	for range len(run.cluster.Nodes) {
 		table, err := cluster.Post[operator.Table](ctx, run.cluster, run.anyNode(), "query", operator.QueryRequest{Statement: statement})
@@ -188,7 +190,8 @@
 	run.setOutage(false, kvstub.Faults{})
 }
 
-// race lets two operators change the same thing through different nodes.
+// raceOperators lets two operators change the same setting concurrently through nodes
+// chosen at random.
 func (run *run) race(ctx context.Context) {
 	tenant := run.config.Target.Tenants[0]
 	var done sync.WaitGroup
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -1,5 +1,5 @@
-// Package faults harms a running fleet under load and checks the whole history
-// against what must always hold.
+// Package faults injects faults into a running fleet under load and checks the recorded
+// history against the guarantees of the system.
 package faults
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// Config sets up a run.
+// Config holds the settings of a run.
 type Config struct {
 	Cluster  *cluster.Cluster
 	Target   load.Target
@@ -28,37 +28,37 @@
 	Output   io.Writer
 }
 
-// harm is an interval in which a node could not be expected to serve.
+// disruption is an interval in which a node is not expected to serve requests.
 type harm struct {
 	node  int
 	from  time.Time
 	until time.Time
 }
 
-// departure is an interval in which an engine must get nothing new.
+// drainInterval is an interval in which an engine must receive no new requests.
 type departure struct {
 	engine string
 	from   time.Time
 	until  time.Time
 }
 
-// change is an accepted change of the configuration.
+// change is an accepted configuration change.
 type change struct {
 	id       string
 	revision int64
 	at       time.Time
-	// reached is when the last node that could be expected to had it in force.
+	// propagatedAt is when the last node that is not disrupted had applied the change.
 	reached time.Time
 }
 
-// restart is one start of a node's process until its first token.
+// restart is the interval from the start of a node's process to its first token.
 type restart struct {
 	elapsed time.Duration
-	// tries tells what each request before was answered.
+	// attempts describes the result of each request that the node was sent.
 	tries []string
 }
 
-// run is the state of one run.
+// run is the state of a run.
 type run struct {
 	config    Config
 	cluster   *cluster.Cluster
@@ -69,7 +69,7 @@
 	harms      []harm
 	departures []departure
 	changes    []change
-	// refused are changes that were said not to be in force.
+	// rejectedChanges holds the IDs of the changes that were rejected as conflicts.
 	refused    []string
 	restarts   []restart
 	violations []string
@@ -91,7 +91,8 @@
 	pollPause     = 50 * time.Millisecond
 )
 
-// Run harms the cluster for the duration and returns the verdicts.
+// Run injects faults into the cluster for the configured duration and returns the
+// verdicts.
 func Run(ctx context.Context, config Config) []Verdict {
 	run := &run{
 		config: config, cluster: config.Cluster,
@@ -138,8 +139,8 @@
 	}
 }
 
-// readyNode is the next node whose readiness is up, as a load balancer would
-// have it; without any, all get requests.
+// readyNode returns the next node that reports itself ready, as a load balancer does. If
+// none is ready, it returns the next node.
 func (run *run) readyNode(turn int) int {
 	nodes := len(run.cluster.Nodes)
 	for offset := range nodes {
@@ -150,7 +151,7 @@
 	return turn % nodes
 }
 
-// watchReadiness polls every node's readiness.
+// watchReadiness polls the readiness of every node.
 func (run *run) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for node := range run.cluster.Nodes {
@@ -160,24 +161,25 @@
 	}
 }
 
-// harmUntil draws one fault after another from the seed.
+// injectFaults injects one fault after another until the context ends, in an order that
+// the seed determines.
 func (run *run) harmUntil(ctx context.Context) {
 	faults := []struct {
 		name string
 		do   func(context.Context)
 	}{
 		{"kill a node", run.killNode},
-		{"stop a node as planned", run.stopNode},
+		{"shut down a node gracefully", run.stopNode},
 		{"freeze a node", run.freezeNode},
 		{"restart all nodes at once", run.herd},
-		{"crash an engine under its address", run.crashEngine},
+		{"restart an engine at its address", run.crashEngine},
 		{"kill an engine", run.killEngine},
 		{"freeze an engine", run.freezeEngine},
-		{"an engine leaves and comes back", run.leaveEngine},
+		{"drain and readmit an engine", run.leaveEngine},
 		{"key-value service outage", run.keyValueOutage},
-		{"key-value service loses answers", run.keyValueLoses},
-		{"operators race", run.race},
-		{"a server answers nothing", run.cutAnswers},
+		{"key-value service drops responses", run.keyValueLoses},
+		{"concurrent operator changes", run.race},
+		{"a server drops a response", run.cutAnswers},
 	}
 	order := run.random.Perm(len(faults))
 	for index := 0; ctx.Err() == nil; index++ {
@@ -194,14 +196,14 @@
 	run.violations = append(run.violations, fmt.Sprintf(format, values...))
 }
 
-// collect keeps an engine's log, which dies with its process.
+// collectExecutions saves the log of an engine, which is lost when its process ends.
 func (run *run) collect(engine *cluster.Backend) {
 	log, err := cluster.Fetch[[]enginestub.Execution](run.cluster, engine.Address, "/control/log")
 	if err != nil {
 		return
 	}
 	for index := range log {
-		// The attempt is followed by its engine's name from here on.
+		// The name of the engine is appended to the attempt's ID.
 		log[index].Attempt += "@" + engine.Name
 	}
 	run.mutex.Lock()
@@ -220,7 +222,7 @@
 	for _, server := range run.cluster.Servers {
 		log, err := cluster.Fetch[[]plainstub.Execution](run.cluster, server.Address, "/control/log")
 		if err != nil {
-			run.note("a server's log cannot be read: %v", err)
+			run.note("cannot read the log of a server: %v", err)
 		}
 		all = append(all, log...)
 	}
--- a/internal/lab/faults/verdict.go
+++ b/internal/lab/faults/verdict.go
@@ -12,10 +12,10 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// Verdict is what a run found on one guarantee.
+// Verdict is the result of checking one guarantee.
 type Verdict struct {
 	Guarantee string
-	// Checked counts what the guarantee was checked on.
+	// Checked is the number of items that were checked.
 	Checked    int
 	Violations []string
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// harmed reports whether the record's node was killed or frozen meanwhile.
+// wasDisrupted reports whether the node was killed or frozen during the request.
 func (run *run) harmed(record load.Record) bool {
 	for _, harm := range run.harms {
 		if harm.node == record.Node && record.Started.Before(harm.until) && record.Ended.After(harm.from) {
@@ -51,21 +51,21 @@
 }
 
 func (run *run) answersWhole() Verdict {
-	verdict := Verdict{Guarantee: "every answer is whole, in order and its own"}
+	verdict := Verdict{Guarantee: "every response is complete, in order and belongs to its request"}
 	for _, record := range run.generator.History {
 		verdict.Checked++
 		switch {
 		case record.Broke && !run.harmed(record):
-			verdict.violate("%s on node %d broke off at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
+			verdict.violate("%s on node %d: connection broke at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
 		case !record.Broke && record.Status == 200 && (!record.Complete || !record.Correct):
-			verdict.violate("%s on node %d: complete %v, right %v", record.ID, record.Node, record.Complete, record.Correct)
+			verdict.violate("%s on node %d: complete %v, correct %v", record.ID, record.Node, record.Complete, record.Correct)
 		}
 	}
 	return verdict
 }
 
 func (run *run) atMostOnce() Verdict {
-	verdict := Verdict{Guarantee: "what may not be repeated runs at most once"}
+	verdict := Verdict{Guarantee: "non-idempotent requests run at most once"}
 	runs := map[string]int{}
 	for _, execution := range run.plainExecutions() {
 		runs[strings.TrimPrefix(execution.Body, "turn ")]++
@@ -88,17 +88,17 @@
 	for id, wasAnswered := range answered {
 		verdict.Checked++
 		if wasAnswered && runs[id] != 1 {
-			verdict.violate("%s was answered but ran %d times", id, runs[id])
+			verdict.violate("%s succeeded but ran %d times", id, runs[id])
 		}
 		if refused[id] && runs[id] > 0 {
-			verdict.violate("%s was refused as not run but ran", id)
+			verdict.violate("%s was rejected as not run but ran", id)
 		}
 	}
 	return verdict
 }
 
 func (run *run) notRunIsTrue() Verdict {
-	verdict := Verdict{Guarantee: "a refusal that says not-run is true"}
+	verdict := Verdict{Guarantee: "a request rejected as not-run did not run"}
 	started := map[string]bool{}
 	for _, execution := range run.executions {
 		started[execution.User] = true
@@ -116,7 +116,7 @@
 }
 
 func (run *run) refusalsSayWhen() Verdict {
-	verdict := Verdict{Guarantee: "a refusal has its outcome and when to come back"}
+	verdict := Verdict{Guarantee: "a rejection has an outcome and a retry time"}
 	for _, record := range run.generator.History {
 		if record.Status < 429 || record.Broke {
 			continue
@@ -124,7 +124,7 @@
 		verdict.Checked++
 		inStream := record.Kind == load.Streamed && record.FirstToken > 0
 		if record.Outcome == "" || (record.RetryAfter == "" && !inStream) {
-			verdict.violate("%s: status %d, outcome %q, retry after %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
+			verdict.violate("%s: status %d, outcome %q, Retry-After %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
 		}
 	}
 	return verdict
@@ -145,7 +145,7 @@
 		verdict.Checked++
 		owner := tenant + " " + execution.Model + " " + execution.Version
 		if first, seen := owners[execution.Salt]; seen && first != owner {
-			verdict.violate("one salt serves %s and %s", first, owner)
+			verdict.violate("the same cache salt is used by %s and %s", first, owner)
 		}
 		owners[execution.Salt] = owner
 	}
@@ -153,13 +153,13 @@
 }
 
 func (run *run) leavingGetsNothing() Verdict {
-	verdict := Verdict{Guarantee: "a leaving engine gets nothing new after 2 s"}
+	verdict := Verdict{Guarantee: "a drained engine receives no new requests after 2 s"}
 	for _, departure := range run.departures {
 		verdict.Checked++
 		for _, execution := range run.executions {
 			onEngine := strings.HasSuffix(execution.Attempt, "@"+departure.engine)
 			if onEngine && execution.At.After(departure.from) && execution.At.Before(departure.until) {
-				verdict.violate("%s got %s at %s", departure.engine, execution.User, execution.At.Format("15:04:05.000"))
+				verdict.violate("%s received %s at %s", departure.engine, execution.User, execution.At.Format("15:04:05.000"))
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 func (run *run) revisions() Verdict {
-	verdict := Verdict{Guarantee: "accepted changes are in force everywhere in 3 s, and never go down"}
+	verdict := Verdict{Guarantee: "accepted changes reach all nodes within 3 s, and revisions never decrease"}
 	accepted := map[string]bool{}
 	for _, change := range run.changes {
 		verdict.Checked++
@@ -187,7 +187,7 @@
 }
 
 func (run *run) restartsServe() Verdict {
-	verdict := Verdict{Guarantee: "a restarted node answers within 1 s", Checked: len(run.restarts)}
+	verdict := Verdict{Guarantee: "a restarted node serves within 1 s", Checked: len(run.restarts)}
 	sort.Slice(run.restarts, func(i, j int) bool { return run.restarts[i].elapsed < run.restarts[j].elapsed })
 	if count := len(run.restarts); count > 0 {
 		fmt.Fprintf(run.config.Output, "process start to first token: median %s, slowest %s of %d\n",
@@ -201,8 +201,8 @@
 	return verdict
 }
 
-// watchRevisions polls every node: revisions of one process never go down, and
-// accepted ones reach all nodes that can be expected to serve.
+// watchRevisions polls every node, checks that the revision of a process never decreases,
+// and records when accepted changes have reached all nodes that are not disrupted.
 func (run *run) watchRevisions(ctx context.Context) {
 	highest := make([]int64, len(run.cluster.Nodes))
 	processes := make([]any, len(run.cluster.Nodes))
@@ -218,7 +218,7 @@
 				continue
 			}
 			if processes[node] == any(process) && status.Revision < highest[node] {
-				run.note("node %d went from revision %d down to %d", node, highest[node], status.Revision)
+				run.note("node %d: revision decreased from %d to %d", node, highest[node], status.Revision)
 			}
 			processes[node], highest[node] = process, status.Revision
 		}
