--- a/internal/lab/faultwire/wire.go
+++ b/internal/lab/faultwire/forwarder.go
@@ -1,5 +1,5 @@
-// Package faultwire is a loopback TCP forwarder that harms what passes through
-// it: connections are delayed, reset, silenced or cut one way.
+// Package faultwire implements a loopback TCP forwarder that injects network faults:
+// it can delay, reset or stall connections, or withhold responses only.
 package faultwire
 
 import (
@@ -11,24 +11,24 @@
 	"github.com/juju/errors"
 )
 
-// Mode is how a wire treats connections.
+// Mode determines how a forwarder treats connections.
 type Mode int
 
-// The modes.
+// The modes of a forwarder.
 const (
-	// Sound passes everything on.
+	// ModeForward forwards all data.
 	Sound Mode = iota
-	// Slow passes everything on after a delay.
+	// ModeDelay forwards all data after forwardDelay.
 	Slow
-	// Reset resets all connections, new ones too.
+	// ModeReset resets all open connections and every new one.
 	Reset
-	// Silent takes connections and passes nothing on in either direction.
+	// ModeBlackhole accepts connections and withholds the data of both directions.
 	Silent
-	// OneWay passes requests on and holds answers back.
+	// ModeHoldResponses forwards requests and withholds responses.
 	OneWay
 )
 
-// String returns the mode's name.
+// String returns the name of the mode.
 func (m Mode) String() string {
 	return [...]string{"sound", "slow", "reset", "silent", "one way"}[m]
 }
@@ -38,7 +38,7 @@
 	bufferSize = 16 << 10
 )
 
-// Wire forwards connections to one address.
+// Forwarder forwards TCP connections to one address.
 type Wire struct {
 	listener net.Listener
 	target   string
@@ -49,11 +49,11 @@
 	open    map[*net.TCPConn]bool
 }
 
-// New returns a sound wire to an address.
+// New starts a forwarder to an address, in ModeForward.
 func New(target string) (*Wire, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Annotate(err, "no free port on loopback")
+		return nil, errors.Annotate(err, "cannot listen on loopback")
 	}
 	w := &Wire{listener: listener, target: target, open: map[*net.TCPConn]bool{}}
 	w.changed = sync.NewCond(&w.mutex)
@@ -61,11 +61,11 @@
 	return w, nil
 }
 
-// Address is where the wire is reached.
+// Address returns the address on which the forwarder listens.
 func (w *Wire) Address() string { return w.listener.Addr().String() }
 
-// Set changes the mode. Bytes that were held back are passed on if the connection
-// is still there.
+// SetMode changes the mode. Withheld data is forwarded if its connection is still open
+// and the new mode permits it.
 func (w *Wire) Set(mode Mode) {
 	w.mutex.Lock()
 	w.mode = mode
@@ -82,7 +82,7 @@
 	}
 }
 
-// Close ends the wire and all its connections.
+// Close stops the forwarder and resets its connections.
 func (w *Wire) Close() {
 	_ = w.listener.Close()
 	w.Set(Reset)
@@ -103,7 +103,7 @@
 	}
 }
 
-// carry passes one connection on until either side ends it.
+// forward forwards one connection until it is closed.
 func (w *Wire) carry(caller *net.TCPConn) {
 	if !w.admit(caller) {
 		abort(caller)
@@ -144,7 +144,8 @@
 	_ = c.Close()
 }
 
-// pass copies one direction. The end of one side ends the other; a reset stays one.
+// copyDirection copies one direction of a connection. It propagates a close as a half-close
+// and a reset as a reset.
 func (w *Wire) pass(to, from *net.TCPConn, answers bool) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -167,7 +168,7 @@
 	}
 }
 
-// hold waits while the mode keeps a direction from passing.
+// awaitMode blocks while the mode withholds the data of a direction.
 func (w *Wire) hold(answers bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/lab/faultwire/wire_test.go
+++ b/internal/lab/faultwire/forwarder_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo starts a server that sends back what it gets, and counts lines.
+// startEchoServer starts a server that echoes each line and also sends it to the channel.
 func echo(t *testing.T) (address string, lines chan string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -57,10 +57,10 @@
 
 	wire.Set(OneWay)
 	say("b")
-	require.Equal(t, "b", <-lines, "requests pass")
+	require.Equal(t, "b", <-lines, "requests are forwarded")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err = answers.ReadString('\n')
-	require.Error(t, err, "answers do not")
+	require.Error(t, err, "responses are withheld")
 	require.NoError(t, c.SetReadDeadline(time.Time{}))
 	wire.Set(Sound)
 	require.Equal(t, "b\n", hear())
