--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends traffic to nodes as callers would, and keeps the history
-// that checks are made on.
+// Package load generates client traffic for nodes and records the history of requests for
+// later checks.
 package load
 
 import (
@@ -21,29 +21,29 @@
 	"github.com/cloverrail/cloverrail/internal/lab/enginestub"
 )
 
-// Target is where requests go.
+// Target describes the fleet that requests are sent to.
 type Target struct {
-	// Addresses of the nodes' caller interfaces.
+	// Addresses are the caller addresses of the nodes.
 	Addresses []string
 	Model     string
 	Tenants   []string
-	// OncePath is a route that is not repeatable.
+	// AtMostOncePath is the path of a non-idempotent route.
 	OncePath   string
 	BlockBytes int
 }
 
-// Generator makes requests and keeps their history.
+// Generator sends requests and records their results.
 type Generator struct {
 	target Target
 	client *http.Client
 	mutex  sync.Mutex
 	random *rand.Rand
-	// History is complete once all requests have ended.
+	// History holds the finished requests. It must not be read while requests are in flight.
 	History []Record
 	shared  map[string][]byte
 }
 
-// New returns a generator with a seed.
+// New returns a generator whose choices depend on the seed.
 func New(target Target, seed uint64) *Generator {
 	return &Generator{
 		target: target,
@@ -59,7 +59,7 @@
 	return generator.random.IntN(limit)
 }
 
-// text makes repeatable filler of a length.
+// fillerText returns filler text that depends only on its name and length.
 func (generator *Generator) text(name string, length int) []byte {
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
@@ -75,18 +75,18 @@
 	return made
 }
 
-// prompt nests prefixes: rules of the tenant, a history that a few requests
-// share, and the request's own question.
+// prompt returns a prompt with nested prefixes: the system prompt of the tenant, a history
+// that some requests share, and a unique question.
 func (generator *Generator) prompt(tenant, id string) []byte {
 	block := generator.target.BlockBytes
-	// A few histories are very hot.
+	// The nested draw makes low-numbered histories much more frequent.
 	campaign := generator.number(1 + generator.number(12))
 	prompt := bytes.Clone(generator.text(tenant+" rules", 2*block))
 	prompt = append(prompt, generator.text(fmt.Sprint(tenant, " campaign ", campaign), 4*block)...)
 	return append(prompt, "question "+id...)
 }
 
-// Request sends one request of a kind to a node and keeps its record.
+// Request sends a request of the given kind to a node and records its result.
 func (generator *Generator) Request(ctx context.Context, kind Kind, node int) Record {
 	tenant := generator.target.Tenants[generator.number(len(generator.target.Tenants))]
 	record := Record{ID: uuid.Must(uuid.NewV7()).String(), Kind: kind, Tenant: tenant, Node: node, Started: time.Now()}
@@ -100,7 +100,7 @@
 	return record
 }
 
-// Probe sends a short streamed request, whose first token shows that a node serves.
+// Probe sends a short streaming request to check that a node serves.
 func (generator *Generator) Probe(ctx context.Context, node int) Record {
 	tenant := generator.target.Tenants[0]
 	record := Record{ID: uuid.Must(uuid.NewV7()).String(), Kind: Streamed, Tenant: tenant, Node: node, Started: time.Now()}
@@ -110,7 +110,7 @@
 	return record
 }
 
-// Duplicate sends one request that is not repeatable to several nodes at once.
+// Duplicate sends the same non-idempotent request to several nodes concurrently.
 func (generator *Generator) Duplicate(ctx context.Context, nodes []int) []Record {
 	tenant := generator.target.Tenants[generator.number(len(generator.target.Tenants))]
 	id := uuid.Must(uuid.NewV7()).String()
@@ -130,11 +130,11 @@
 	return records
 }
 
-// lateDuplicates reach back over so many records.
+// replayWindow is the number of most recent records from which Replay chooses.
 const lateDuplicates = 400
 
-// Again sends an earlier request that is not repeatable once more, under its own
-// key, as a caller does who has lost the answer. It reports whether there was one.
+// Replay resends an earlier non-idempotent request with its original idempotency key, as a
+// client does after losing the response. It reports whether there was such a request.
 func (generator *Generator) Again(ctx context.Context, node int) bool {
 	generator.mutex.Lock()
 	recent := generator.History[max(0, len(generator.History)-lateDuplicates):]
@@ -228,7 +228,7 @@
 	record.Correct = received == expected.String()
 }
 
-// Count is the number of requests that have ended.
+// Count returns the number of finished requests.
 func (generator *Generator) Count() int {
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
--- a/internal/lab/load/record.go
+++ b/internal/lab/load/record.go
@@ -11,40 +11,41 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Kind tells requests apart.
+// Kind is the kind of a request.
 type Kind string
 
-// The kinds of requests.
+// The kinds of requests: streaming and non-streaming completions, and non-idempotent
+// requests to a plain service.
 const (
 	Streamed Kind = "streamed"
 	Whole    Kind = "whole"
 	Once     Kind = "once"
 )
 
-// Record is one request and what came of it.
+// Record is a request and its result.
 type Record struct {
 	ID     string
 	Kind   Kind
 	Tenant string
 	Node   int
 	Status int
-	// Outcome is what a refusal claimed; empty for answers.
+	// Outcome is the outcome that a rejection reports; it is empty on success.
 	Outcome string
-	// Code is the kind of a refusal.
+	// Code is the error code of a rejection.
 	Code string
-	// RetryAfter is the header of a refusal.
+	// RetryAfter is the Retry-After header of a rejection.
 	RetryAfter string
-	// Complete says that the answer had its explicit end.
+	// Complete reports whether the response ended with its end marker.
 	Complete bool
-	// Correct says that the answer was the one that belongs to the request.
+	// Correct reports whether the response has the content expected for the request.
 	Correct    bool
 	Started    time.Time
 	FirstToken time.Duration
 	Elapsed    time.Duration
 	Usage      *engineapi.Usage
-	// Ended is when the record was closed.
+	// Ended is when the request ended.
 	Ended time.Time
-	// Broke says that the connection ended without an answer or an end.
+	// ConnectionBroken reports whether the connection ended before the response did.
 	Broke bool
 }
 
@@ -53,7 +54,7 @@
 	record.Elapsed = record.Ended.Sub(record.Started)
 }
 
-// note reads the code of a refusal.
+// parseError reads the error code of a rejection.
 func (record *Record) note(text []byte) {
 	if record.Status == http.StatusOK {
 		return
@@ -82,7 +83,7 @@
 	return answer.Choices[0].Content()
 }
 
-// stream reads server-sent events of one line each, as the nodes write them.
+// readStream reads server-sent events whose data is on a single line, as nodes write it.
 func (record *Record) stream(body io.Reader) string {
 	received := &strings.Builder{}
 	lines := bufio.NewScanner(body)
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary condenses a history.
+// Summary holds aggregate results of a history.
 type Summary struct {
 	Requests   int
 	Answered   int
@@ -24,7 +24,7 @@
 
 const longest = int64(time.Minute / time.Microsecond)
 
-// Summarize condenses a history.
+// Summarize returns the aggregate results of a history.
 func Summarize(history []Record) Summary {
 	summary := Summary{FirstToken: hdrhistogram.New(1, longest, 3), Refusals: map[string]int{}}
 	prompt, cached := 0, 0
@@ -60,9 +60,9 @@
 	columns := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	row := func(name string, value any) { fmt.Fprintf(columns, "%s\t%v\n", name, value) }
 	row("requests", summary.Requests)
-	row("answered whole and right", summary.Answered)
-	row("wrong or incomplete", summary.Wrong)
-	row("connection broke", summary.Broken)
+	row("complete and correct", summary.Answered)
+	row("incorrect or incomplete", summary.Wrong)
+	row("connection broken", summary.Broken)
 	row("prefix hit rate", fmt.Sprintf("%.1f %%", 100*summary.HitRate))
 	row("recomputed tokens", summary.Recomputed)
 	for _, quantile := range []float64{50, 95, 99} {
