--- a/internal/lab/inprocess/once_test.go
+++ b/internal/lab/inprocess/atmostonce_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestClaimsOutliveAChangeOfTheirHolders replaces one of three holders, and sends
-// duplicates of requests that ran before, during and after the change.
+// TestClaimsSurviveHolderChange replaces one of three claim holders and sends duplicates of
+// requests that ran before, during and after the change.
 func TestClaimsOutliveAChangeOfTheirHolders(t *testing.T) {
 	fleet := startFleet(t, Config{Nodes: 4, Engines: 1, Servers: 2, Step: time.Millisecond, Holders: 3})
 	send := func(node int, key, body string) int {
@@ -61,7 +61,7 @@
 	run := func(count int) {
 		for range count {
 			require.NoError(t, fleet.Await(func() bool {
-				// A send that was not run may come back under a new key.
+				// A request that was not run may be retried with a new key.
 				key := uuid.Must(uuid.NewV7()).String()
 				if send(len(keys)%4, key, "turn "+key) != http.StatusOK {
 					return false
@@ -80,11 +80,11 @@
 	require.NoError(t, err)
 	for range 40 {
 		for index, key := range keys {
-			require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key), "a duplicate does not run")
+			require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key), "duplicates are rejected")
 		}
 	}
 	run(8)
-	require.NoError(t, fleet.Await(func() bool { return len(fleet.Nodes[0].Snapshot().Declaration.Claims.Previous) == 0 }), "the change is settled")
+	require.NoError(t, fleet.Await(func() bool { return len(fleet.Nodes[0].Snapshot().Declaration.Claims.Previous) == 0 }), "the holder change is complete")
 	for index, key := range keys {
 		require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key))
 		require.Equal(t, 1, fleet.ran("turn "+key))
--- a/internal/lab/inprocess/bench_test.go
+++ b/internal/lab/inprocess/bench_test.go
@@ -41,14 +41,14 @@
 	return time.Since(begin)
 }
 
-// BenchmarkNodeOverhead compares a request through a node with the same request
-// sent to the engine itself, in turns, and reports what the node adds.
+// BenchmarkNodeOverhead alternates requests through a node with the same requests sent
+// directly to the engine and reports the latency that the node adds.
 func BenchmarkNodeOverhead(b *testing.B) {
 	benchmarkOverhead(b, Config{Nodes: 1, Engines: 1, Step: 200 * time.Microsecond}, "whose turn is it?")
 }
 
-// BenchmarkIndexHop is the same with a prompt of 20 blocks and three nodes, with
-// the whole index on every node and with one home for each chain.
+// BenchmarkIndexHop measures the same with a prompt of 20 blocks and three nodes, with the
+// index replicated on every node and partitioned by chain.
 func BenchmarkIndexHop(b *testing.B) {
 	prompt := strings.Repeat("campaign", 20*BlockBytes/8)
 	for name, homes := range map[string]bool{"replicated": false, "homes": true} {
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkOpenStreams opens many streams through one node and reports the
-// memory of the whole process (node, engine stand-in and callers) for each.
+// BenchmarkOpenStreams opens many streams through one node and reports the memory of the
+// whole process (node, engine stubs and clients) per stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2000
 	fleet, err := Start(Config{Nodes: 1, Engines: 130, Step: 100 * time.Millisecond})
--- a/internal/lab/inprocess/configuration_test.go
+++ b/internal/lab/inprocess/configuration_test.go
@@ -61,8 +61,8 @@
 		response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "after", 3, false))
 		defer response.Body.Close()
 		return response.StatusCode == http.StatusOK
-	}), "the engines are ordered to load the new version")
-	require.LessOrEqual(t, fleet.Weights.Most(), loadsAtOnce, "the store is not asked by more engines than declared")
+	}), "engines are ordered to load the new version")
+	require.LessOrEqual(t, fleet.Weights.Most(), loadsAtOnce, "at most loadsAtOnce engines load weights concurrently")
 }
 
 func TestDrainedEngineGetsNothingNewUntilReadmitted(t *testing.T) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestHerdRestartIsGentleOnTheKeyValueService restarts nine nodes at once with a
-// configuration of many parts, and counts the reads that this costs.
+// TestSimultaneousRestartBoundsKeyValueReads restarts nine nodes at once with a configuration
+// of many parts, to detect nodes that read every part from the key-value service.
 func TestHerdRestartIsGentleOnTheKeyValueService(t *testing.T) {
 	const nodes = 9
 	fleet := startFleet(t, Config{Nodes: nodes, Engines: 1, Step: time.Millisecond})
--- a/internal/lab/inprocess/engine_test.go
+++ b/internal/lab/inprocess/engine_test.go
@@ -39,8 +39,9 @@
 	require.Equal(t, expectedText(prompt, 60), text)
 }
 
-// TestDeathOfAnEngineIsToldByWhoMeetsIt has no readers, as in the first seconds
-// after a zone is lost with its engines and the nodes that read them.
+// TestEngineFailureIsSharedWithPeers runs without event readers, as in the first seconds
+// after a zone fails with its engines and the nodes that watch them. A node that fails to
+// reach an engine must inform its peers.
 func TestDeathOfAnEngineIsToldByWhoMeetsIt(t *testing.T) {
 	fleet := startFleet(t, Config{Nodes: 2, Engines: 2, Step: time.Millisecond, NoReaders: true})
 	send := func(node int, prompt string) int {
@@ -54,7 +55,7 @@
 	require.NoError(t, fleet.Await(func() bool {
 		require.Equal(t, http.StatusOK, send(0, uuid.NewString()))
 		return fleet.Nodes[1].UsableEngines("main") == 1
-	}), "the other node hears of it without having tried")
+	}), "the other node learns of the failure without contacting the engine")
 }
 
 func TestEngineThatNeverAnswersIsGivenUpOn(t *testing.T) {
@@ -70,8 +71,9 @@
 	}
 }
 
-// TestAnswerNeverMixesTwoVersions changes the model's version while an answer is
-// being written, and then takes the engine away: nothing may go on with it.
+// TestResponseNeverMixesModelVersions changes the version of the model during a stream and
+// then crashes the engines. The stream must fail, because no engine has the version that
+// it started with.
 func TestAnswerNeverMixesTwoVersions(t *testing.T) {
 	fleet := startFleet(t, Config{Nodes: 1, Engines: 2, Step: 5 * time.Millisecond})
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "prompt", 4000, true))
--- a/internal/lab/inprocess/fleet.go
+++ b/internal/lab/inprocess/fleet.go
@@ -1,5 +1,5 @@
-// Package inprocess runs nodes and stand-ins inside one process, over real
-// sockets on loopback, for tests of the whole path.
+// Package inprocess runs nodes and stub servers in a single process, connected by loopback
+// sockets, for end-to-end tests.
 package inprocess
 
 import (
@@ -34,7 +34,7 @@
 	"github.com/cloverrail/cloverrail/internal/configstore"
 )
 
-// Names in the declaration of a test fleet.
+// Names and parameters of a test fleet.
 const (
 	Model       = "oraakeli"
 	Version     = "v1"
@@ -48,37 +48,38 @@
 	poll        = 10 * time.Millisecond
 )
 
-// Key returns a tenant's or operator's key.
+// Key returns the API key of a tenant or operator.
 func Key(name string) string { return "key-of-" + name }
 
-// Config sets up a fleet.
+// Config holds the settings of a fleet.
 type Config struct {
 	Nodes   int
 	Engines int
 	Servers int
-	// Step is an engine's step time.
+	// StepTime is the step time of the engines.
 	Step time.Duration
-	// Homes makes each chain of the index have one home, as in a large fleet.
+	// PartitionIndex gives each chain of the prefix index a single owner node
+	// instead of replicating the index on every node, as in a large fleet.
 	Homes bool
-	// Holders of claims; 0 makes all nodes holders.
+	// Holders is the number of claim holders; 0 makes all nodes holders.
 	Holders int
-	// NoReaders leaves the engines unwatched.
+	// NoReaders disables the event readers, so that no node watches the engines.
 	NoReaders bool
-	// Lag of the machine list.
+	// MachineListLag delays changes of the machine list.
 	Lag time.Duration
 }
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	Settings settings.Settings
 	*node.Node
 	stop context.CancelFunc
 	done chan struct{}
-	// err is why the node ended, once done is closed.
+	// err is the result of the node's Run, set before done is closed.
 	err error
 }
 
-// Fleet is all of it.
+// Fleet is a set of running nodes with the stub servers that they use.
 type Fleet struct {
 	Declaration *configuration.Declaration
 	KeyValue    *kvstub.Server
@@ -93,15 +94,14 @@
 	mutex   sync.Mutex
 	blocked map[string]bool
 	closers []func()
-	// engineClosers end the servers of single engines.
+	// engineClosers stop the servers of individual engines.
 	engineClosers []func()
 	peers         []string
 	base          settings.Settings
 	options       node.Options
 }
 
-// Start starts the fleet, applies its declaration and waits until every node is
-// ready.
+// Start starts a fleet, applies its declaration and waits until every node is ready.
 func Start(config Config) (*Fleet, error) {
 	fleet := &Fleet{blocked: map[string]bool{}, KeyValue: kvstub.New(), Machines: machinestub.New(config.Lag)}
 	fleet.options.Blocked = fleet.isBlocked
@@ -188,7 +188,8 @@
 	fleet.Declaration = declared
 }
 
-// StartNode starts a node at its addresses.
+// StartNode starts or restarts a node. It keeps its peer address and gets new caller and
+// operator addresses.
 func (fleet *Fleet) StartNode(index int) error {
 	given := fleet.base
 	given.Zone = string(rune('a' + index%3))
@@ -213,17 +214,17 @@
 	return nil
 }
 
-// Shutdown asks a node to stop as planned and returns a channel that closes
-// when it has.
+// Shutdown starts a graceful shutdown and returns a channel that is closed when the node
+// has stopped.
 func (running *Node) Shutdown() <-chan struct{} {
 	running.stop()
 	return running.done
 }
 
-// CloseEngine ends an engine's server for good.
+// StopEngine stops the server of an engine permanently.
 func (fleet *Fleet) CloseEngine(index int) { fleet.engineClosers[index]() }
 
-// Cut blocks the path to a node's peer address, or opens it again.
+// SetBlocked blocks or unblocks traffic to the peer address of a node.
 func (fleet *Fleet) Cut(address string, cut bool) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -245,19 +246,19 @@
 	return true
 }
 
-// Await polls until the condition holds, or fails after a generous while.
+// Await polls until the condition holds, or fails after awaitTimeout.
 func (fleet *Fleet) Await(condition func() bool) error {
 	for end := time.Now().Add(readyLimit); !condition(); time.Sleep(poll) {
 		if time.Now().After(end) {
-			return errors.Errorf("the condition did not come to hold; %s", fleet.ends())
+			return errors.Errorf("timed out waiting for the condition; %s", fleet.ends())
 		}
 	}
 	return nil
 }
 
-// ends tells which nodes have ended, and why.
+// endedNodes describes which nodes have stopped, with their errors.
 func (fleet *Fleet) ends() string {
-	told := "nodes that ended:"
+	told := "stopped nodes:"
 	for index, running := range fleet.Nodes {
 		select {
 		case <-running.done:
@@ -268,12 +269,12 @@
 	return told
 }
 
-// URL returns a node's callers' interface.
+// URL returns the base URL of a node's caller address.
 func (fleet *Fleet) URL(index int) string {
 	return "http://" + fleet.Nodes[index].Settings.CallerAddress
 }
 
-// Stop ends everything.
+// Stop stops all nodes and stub servers.
 func (fleet *Fleet) Stop() {
 	for _, running := range fleet.Nodes {
 		running.stop()
--- a/internal/lab/inprocess/fleet_test.go
+++ b/internal/lab/inprocess/fleet_test.go
@@ -62,7 +62,8 @@
 	return text.String()
 }
 
-// readStream returns the text of a streamed completion and whether it ended.
+// readStream returns the text of a streaming completion and whether it was complete. It
+// calls onEvent after each event with the number of events so far.
 func readStream(t *testing.T, body io.Reader, each func(events int)) (text string, done bool) {
 	t.Helper()
 	lines := bufio.NewScanner(body)
@@ -167,7 +168,7 @@
 		return response.StatusCode == http.StatusServiceUnavailable
 	}))
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "late", 1, false))
-	require.True(t, response.Close, "kept connections end by agreement before the node does")
+	require.True(t, response.Close, "keep-alive connections are closed before the node stops")
 	_ = response.Body.Close()
 	done.Wait()
 	<-stopped
--- a/internal/lab/inprocess/index_test.go
+++ b/internal/lab/inprocess/index_test.go
@@ -14,7 +14,7 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// wholeAnswer sends a request that is not streamed and returns its answer.
+// sendCompletion sends a non-streaming request and returns the response.
 func wholeAnswer(t *testing.T, fleet *Fleet, prompt string) engineapi.Chunk {
 	t.Helper()
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, prompt, 5, false))
@@ -45,7 +45,7 @@
 	require.NoError(t, fleet.Await(func() bool {
 		fleet.Engines[0].Crash()
 		answer := wholeAnswer(t, fleet, prompt)
-		require.Zero(t, answer.Usage.Details.CachedTokens, "nothing of another identity is used")
+		require.Zero(t, answer.Usage.Details.CachedTokens, "blocks of another identity are not used")
 		return fleet.Kept.Fetched() > 0
 	}))
 }
@@ -78,13 +78,14 @@
 			known += running.IndexBlocks()
 		}
 		return known == blocks
-	}), "each anchor is known at its home and nowhere else")
+	}), "each anchor is indexed by its owner only")
 	for node := range fleet.Nodes {
 		for _, prompt := range prompts {
 			require.Positive(t, send(node, prompt).Details.CachedTokens)
 		}
 	}
-	// A node that leaves takes its part with it; the readers deal it out again.
+	// The partition of a node that stops is lost; the readers publish its entries again
+	// to the new owners.
 	<-fleet.Nodes[2].Shutdown()
 	require.NoError(t, fleet.Await(func() bool {
 		known := 0
@@ -93,7 +94,7 @@
 		}
 		return known >= blocks
 	}))
-	// A home that cannot be reached costs hits, not answers.
+	// An unreachable owner costs cache hits but does not fail requests.
 	fleet.Cut(fleet.Nodes[1].Settings.PeerAddress, true)
 	for _, prompt := range prompts {
 		require.Equal(t, 2, send(0, prompt).CompletionTokens)
