--- a/internal/lab/kvstub/server.go
+++ b/internal/lab/kvstub/server.go
@@ -13,20 +13,21 @@
 	"github.com/cloverrail/cloverrail/internal/lab/standin"
 )
 
-// Faults is what the stand-in does wrong at present.
+// Faults are the faults that the stub injects.
 type Faults struct {
-	// Outage refuses every call and ends every watch.
+	// Outage fails every call and ends every watch.
 	Outage bool `json:"outage"`
-	// Delay is added before every call.
+	// Delay is the delay before every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers is the share of transactions that take effect without answer.
+	// DropResponses is the fraction of transactions that are committed but whose
+	// response is dropped.
 	LoseAnswers float64 `json:"loseAnswers"`
 }
 
-// requestsPerSecond is the rate limit of the stand-in.
+// requestsPerSecond is the rate limit of the stub.
 const requestsPerSecond = 200
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	store   *Store
 	limiter *rate.Limiter
@@ -37,7 +38,7 @@
 	calls  map[string]int
 }
 
-// New returns an empty service without faults.
+// New returns an empty key-value service without faults.
 func New() *Server {
 	server := &Server{store: NewStore(), limiter: rate.NewLimiter(requestsPerSecond, requestsPerSecond), mux: http.NewServeMux(), calls: map[string]int{}}
 	handle(server, "/v3/kv/range", func(request kvservice.RangeRequest) any { return server.store.Get(request) })
@@ -62,7 +63,7 @@
 	server.faults = faults
 }
 
-// Calls counts the calls of one path so far.
+// Calls returns the number of calls of a path so far.
 func (server *Server) Calls(path string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -75,7 +76,7 @@
 	return server.faults
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP counts a call by its path and serves it.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mutex.Lock()
 	server.calls[request.URL.Path]++
--- a/internal/lab/kvstub/store.go
+++ b/internal/lab/kvstub/store.go
@@ -1,5 +1,5 @@
-// Package kvstub stands in for the platform's key-value service: the part of
-// etcd v3's published JSON mapping that cloverrail calls, with faults.
+// Package kvstub implements a stub of the platform's key-value service: the part of the
+// published JSON mapping of etcd v3 that cloverrail calls, with fault injection.
 package kvstub
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cloverrail/cloverrail/internal/kvservice"
 )
 
-// Store is the data of the stand-in, behind one lock.
+// Store holds the data of the stub. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	revision int64
@@ -49,7 +49,7 @@
 	}
 }
 
-// Get answers a range request.
+// Get executes a range request.
 func (store *Store) Get(request kvservice.RangeRequest) kvservice.RangeResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return answer
 }
 
-// Commit runs a transaction.
+// Commit executes a transaction.
 func (store *Store) Commit(request kvservice.TxnRequest) kvservice.TxnResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -120,7 +120,8 @@
 	}
 }
 
-// offer never blocks the store: a watcher that is behind loses its watch.
+// send drops the result if the watcher's buffer is full, so that a slow watcher never
+// blocks the store.
 func (watcher *watcher) offer(result kvservice.WatchResult) {
 	select {
 	case watcher.events <- result:
