--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -1,5 +1,5 @@
-// Package storestub is an in-memory stand-in for the shared store that nodes
-// coordinate by. Its calls can be made to fail, with or without taking effect.
+// Package storestub implements an in-memory stub of the store through which nodes
+// coordinate. Its calls can be made to fail, with or without taking effect.
 package storestub
 
 import (
@@ -14,28 +14,28 @@
 	"github.com/cloverrail/cloverrail/internal/coordination"
 )
 
-// Fault is what becomes of one call.
+// Fault is a fault that the stub injects into a call.
 type Fault int
 
 // The faults.
 const (
-	// None lets the call through.
+	// FaultNone executes the call normally.
 	None Fault = iota
-	// Refused does nothing and answers with an error.
+	// FaultUnavailable returns an error without executing the call.
 	Refused
-	// Lost does what was asked and answers with an error.
+	// FaultLostResponse executes the call and returns an error.
 	Lost
 )
 
-var errFault = errors.New("the store gave no answer")
+var errFault = errors.New("store did not respond")
 
-// lease is a lease and when it lapses.
+// lease is a lease with its time to live and expiry.
 type lease struct {
 	life  time.Duration
 	until time.Time
 }
 
-// Store is the stand-in. Its clock is the caller's.
+// Store is an in-memory store whose clock is supplied by the caller.
 type Store struct {
 	mutex    sync.Mutex
 	now      func() time.Time
@@ -51,8 +51,8 @@
 	lease int64
 }
 
-// New returns an empty store. Fault says what becomes of each call; nil means
-// that all succeed.
+// New returns an empty store. It calls faultOf to choose the fault of each call; nil
+// means that no call fails.
 func New(now func() time.Time, fault func(call string) Fault) *Store {
 	if fault == nil {
 		fault = func(string) Fault { return None }
@@ -60,21 +60,21 @@
 	return &Store{now: now, fault: fault, era: 1, leases: map[int64]*lease{}, entries: map[string]entry{}}
 }
 
-// Era returns the era of the store.
+// Era returns the current era of the store.
 func (store *Store) Era() int64 {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.era
 }
 
-// Copy is what a store held at some moment.
+// Snapshot is the content of a store at some time.
 type Copy struct {
 	revision int64
 	leases   map[int64]lease
 	entries  map[string]entry
 }
 
-// Copy returns what the store holds now.
+// Snapshot returns the current content of the store.
 func (store *Store) Copy() Copy {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -86,7 +86,8 @@
 	return c
 }
 
-// GoBack lets the store come back from a copy, in the next era. The copy's leases count from now.
+// Restore replaces the content of the store by a snapshot and starts the next era. The
+// leases of the snapshot are renewed.
 func (store *Store) GoBack(c Copy) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// run performs one call under its fault.
+// call executes an operation subject to the fault chosen for it.
 func (store *Store) run(call string, perform func()) error {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// expire drops lapsed leases with their keys.
+// expire removes expired leases with their keys.
 func (store *Store) expire() {
 	for id, held := range store.leases {
 		if !store.now().Before(held.until) {
@@ -132,7 +133,7 @@
 	}
 }
 
-// Grant opens a lease.
+// Grant creates a lease.
 func (store *Store) Grant(_ context.Context, life time.Duration) (granted coordination.Lease, err error) {
 	err = store.run("grant", func() {
 		store.revision++
@@ -142,7 +143,7 @@
 	return granted, err
 }
 
-// Renew keeps a lease.
+// Renew extends a lease and reports whether it still existed.
 func (store *Store) Renew(_ context.Context, id int64) (alive bool, err error) {
 	err = store.run("renew", func() {
 		held := store.leases[id]
@@ -153,12 +154,12 @@
 	return alive, err
 }
 
-// End gives a lease back.
+// Revoke removes a lease with its keys.
 func (store *Store) End(_ context.Context, id int64) error {
 	return store.run("end", func() { store.drop(id) })
 }
 
-// Create writes a key that does not exist.
+// Create writes a key under a lease if the key does not exist and the lease does.
 func (store *Store) Create(_ context.Context, key string, value []byte, leaseID int64) (at coordination.Position, created bool, err error) {
 	err = store.run("create", func() {
 		_, exists := store.entries[key]
@@ -176,7 +177,7 @@
 	return written.Position()
 }
 
-// Write writes a key, whatever it holds.
+// Write writes a key unconditionally if its lease exists.
 func (store *Store) Write(_ context.Context, key string, value []byte, leaseID int64) (written bool, err error) {
 	err = store.run("write", func() {
 		if written = store.leases[leaseID] != nil; written {
@@ -186,7 +187,7 @@
 	return written, err
 }
 
-// WriteGuarded writes a key if the guard is still at its revision.
+// WriteGuarded writes a key if the guard key is still at the given position.
 func (store *Store) WriteGuarded(_ context.Context, key string, value []byte, guard string, at coordination.Position) (written bool, err error) {
 	err = store.run("write", func() {
 		if written = store.entries[guard].Position() == at; written {
@@ -205,7 +206,7 @@
 	return found, exists, err
 }
 
-// Entries returns all entries below a prefix.
+// Entries returns all entries whose key has the prefix.
 func (store *Store) Entries(prefix string) []coordination.Entry {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
