--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -1,4 +1,4 @@
-// Package agenda orders what happens in virtual time.
+// Package agenda implements the event queue of discrete-event simulations.
 package agenda
 
 import (
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Entry is something due at a moment.
+// Entry is an item that is due at a point in virtual time.
 type Entry[Item any] struct {
 	At    time.Time
 	Item  Item
 	order uint64
 }
 
-// Agenda hands out entries by time, and those of one moment in the order in
-// which they were added.
+// Queue is a priority queue of entries ordered by time. Entries of the same time are
+// returned in the order in which they were added.
 type Agenda[Item any] struct {
 	entries entries[Item]
 	added   uint64
 }
 
-// Add puts an item on the agenda.
+// Add schedules an item.
 func (agenda *Agenda[Item]) Add(at time.Time, item Item) {
 	agenda.added++
 	heap.Push(&agenda.entries, Entry[Item]{At: at, Item: item, order: agenda.added})
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (agenda *Agenda[Item]) Len() int { return len(agenda.entries) }
 
-// Due takes the next entry if it is not after the horizon.
+// PopUntil removes and returns the next entry unless it is after the horizon.
 func (agenda *Agenda[Item]) Due(horizon time.Time) (Entry[Item], bool) {
 	if len(agenda.entries) == 0 || agenda.entries[0].At.After(horizon) {
 		return Entry[Item]{}, false
@@ -37,7 +37,7 @@
 	return agenda.Next()
 }
 
-// Next takes the next entry.
+// Pop removes and returns the next entry.
 func (agenda *Agenda[Item]) Next() (Entry[Item], bool) {
 	if len(agenda.entries) == 0 {
 		return Entry[Item]{}, false
