--- a/internal/lab/keptstub/server.go
+++ b/internal/lab/keptstub/server.go
@@ -1,5 +1,5 @@
-// Package keptstub stands in for the platform's store of kept KV cache. It keeps
-// the names and identities of blocks, not their contents.
+// Package keptstub implements a stub of the platform's external KV-cache store. It stores
+// the hashes and identities of blocks, not their contents.
 package keptstub
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	mux   *http.ServeMux
 	epoch string
@@ -25,12 +25,12 @@
 	kept       *enginemodel.Kept
 	identities map[prefix.Hash]string
 	events     eventlog.Log
-	// wrong makes the store answer with blocks of another identity.
+	// wrongIdentity makes the store return blocks with another identity.
 	wrong   bool
 	fetched int
 }
 
-// New returns an empty store of the given capacity in blocks.
+// New returns an empty store with the given capacity in blocks.
 func New(capacity int) *Server {
 	server := &Server{mux: http.NewServeMux(), epoch: uuid.NewString(), kept: enginemodel.NewKept(capacity), identities: map[prefix.Hash]string{}}
 	server.mux.HandleFunc("POST "+engineapi.PathKeptStore, server.store)
@@ -41,19 +41,19 @@
 	return server
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the API of the store.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
 
-// SetWrong makes the store answer with blocks of another identity.
+// SetWrongIdentity makes the store return blocks with another identity, or ends that fault.
 func (server *Server) SetWrong(wrong bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.wrong = wrong
 }
 
-// Fetched counts the blocks handed out.
+// FetchedBlocks returns the number of blocks returned so far.
 func (server *Server) Fetched() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// fetch answers with the leading blocks that are kept.
+// serveFetch returns the leading requested blocks that are stored.
 func (server *Server) fetch(writer http.ResponseWriter, request *http.Request) {
 	message, ok := standin.Read[engineapi.KeptBlocks](writer, request)
 	if !ok {
