--- a/internal/lab/eventlog/log.go
+++ b/internal/lab/eventlog/log.go
@@ -1,5 +1,5 @@
-// Package eventlog serves the cache events of a stand-in as a stream, from a
-// bounded memory: readers that are too far behind see a gap.
+// Package eventlog streams the cache events of a stub server from a bounded log. Readers
+// that fall too far behind see a gap in the sequence numbers.
 package eventlog
 
 import (
@@ -14,13 +14,13 @@
 
 const length = 16_384
 
-// Log keeps the last events. It is safe for concurrent use.
+// Log keeps the last maxEvents events. It is safe for concurrent use.
 type Log struct {
 	mutex  sync.Mutex
 	events []engineapi.CacheEvent
 }
 
-// Append adds events.
+// Append adds events and drops the oldest if the log is full.
 func (log *Log) Append(events ...engineapi.CacheEvent) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// Clear forgets all events, as after a crash.
+// Clear removes all events, as after a crash.
 func (log *Log) Clear() {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -49,7 +49,7 @@
 	return found
 }
 
-// Serve streams batches to one reader until it leaves or a new epoch begins.
+// Serve streams batches of events to a reader until it disconnects or the epoch changes.
 func (log *Log) Serve(writer http.ResponseWriter, request *http.Request, status func() engineapi.Status) {
 	sequence, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	writer.Header().Set("Content-Type", "application/json")
@@ -86,7 +86,8 @@
 	}
 }
 
-// describe is what of a status is worth telling at once.
+// statusKey encodes the part of a status whose changes are sent without delay, which
+// excludes the load.
 func describe(status engineapi.Status) string {
 	status.Load = engineapi.Load{}
 	data, _ := json.Marshal(status)
