--- a/internal/lab/plainstub/server.go
+++ b/internal/lab/plainstub/server.go
@@ -1,5 +1,5 @@
-// Package plainstub stands in for a plain service, such as turn submission. It
-// logs every request that it runs.
+// Package plainstub implements a stub of a plain service, such as turn submission. It logs
+// every request that it runs.
 package plainstub
 
 import (
@@ -14,50 +14,50 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Execution is one line of the log.
+// Execution is an entry of the log of executed requests.
 type Execution struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Body is the request's body, by which a test knows its own requests.
+	// Body is the request body, by which tests identify their requests.
 	Body string `json:"body"`
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	epoch   string
 	work    time.Duration
 	mutex   sync.Mutex
 	leaving bool
-	// cut ends this many requests without an answer after they ran.
+	// dropResponses is the number of requests whose responses will be dropped.
 	cut        int
 	executions []Execution
 }
 
-// New returns a service whose requests take the given time.
+// New returns a service whose requests take serviceTime.
 func New(work time.Duration) *Server { return &Server{epoch: uuid.NewString(), work: work} }
 
-// CutAnswers makes the next requests run without an answer.
+// DropResponses makes the server run the next count requests without responding.
 func (server *Server) CutAnswers(count int) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.cut = count
 }
 
-// SetLeaving makes the server refuse new work.
+// SetDraining makes the server reject new requests.
 func (server *Server) SetLeaving(leaving bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.leaving = leaving
 }
 
-// Executions returns the log.
+// Executions returns the log of executed requests.
 func (server *Server) Executions() []Execution {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return append([]Execution(nil), server.executions...)
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP serves the status and control endpoints and runs all other requests.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case engineapi.PathStatus:
