--- a/internal/lab/weightstub/server.go
+++ b/internal/lab/weightstub/server.go
@@ -1,5 +1,5 @@
-// Package weightstub stands in for the platform's weight store, which serves a few
-// engines at once at full speed and more of them slower.
+// Package weightstub implements a stub of the platform's weight store, which serves a
+// limited number of engines concurrently at full speed and more of them slower.
 package weightstub
 
 import (
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// Path is where engines fetch weights.
+// Path is the URL path from which engines fetch weights.
 const Path = "/weights"
 
 const tick = 10 * time.Millisecond
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	load   time.Duration
 	atOnce int
 
 	mutex   sync.Mutex
 	loading int
-	// most is the highest number that loaded together.
+	// peak is the highest number of concurrent loads.
 	most int
 }
 
-// New returns a store from which weights take the given time while at most atOnce
-// engines load, and longer in proportion when there are more.
+// New returns a store from which a load takes loadTime while at most maxConcurrent engines
+// load, and proportionally longer when there are more.
 func New(load time.Duration, atOnce int) *Server { return &Server{load: load, atOnce: atOnce} }
 
-// Most is the highest number of engines that loaded together so far.
+// Peak returns the highest number of concurrent loads so far.
 func (server *Server) Most() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.most
 }
 
-// ServeHTTP answers once the weights are loaded.
+// ServeHTTP responds when the load is complete.
 func (server *Server) ServeHTTP(_ http.ResponseWriter, request *http.Request) {
 	server.change(1)
 	defer server.change(-1)
@@ -58,7 +58,8 @@
 	server.most = max(server.most, server.loading)
 }
 
-// progress is how much of a load one tick brings, shared when too many load.
+// progress returns the progress of a load per progressInterval. More than maxConcurrent
+// loads share the bandwidth of maxConcurrent.
 func (server *Server) progress() time.Duration {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
