--- a/internal/lab/address/address.go
+++ b/internal/lab/address/address.go
@@ -1,4 +1,4 @@
-// Package address finds loopback addresses for processes of the laboratory.
+// Package address allocates loopback addresses for test processes.
 package address
 
 import (
@@ -7,15 +7,15 @@
 	"net"
 )
 
-// The ports lie below the range from which outgoing connections take theirs,
-// and the numbers away from 127.0.0.1, from which they are made: an address
-// that is given back for a moment, as by a restart, is not taken by them.
+// Ports lie below the ephemeral range, and addresses differ from 127.0.0.1, the source of
+// outgoing connections. No outgoing connection can therefore take an address that is
+// briefly unused, as during a restart.
 const (
 	lowestPort = 12_000
 	ports      = 10_000
 )
 
-// Free returns an address that is free for TCP and UDP.
+// Free returns a loopback address whose port is free for both TCP and UDP.
 func Free() string {
 	for {
 		address := fmt.Sprintf("127.%d.%d.%d:%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250), lowestPort+rand.IntN(ports))
