--- a/internal/lab/suspension/suspension.go
+++ b/internal/lab/suspension/suspension.go
@@ -1,5 +1,5 @@
-// Package suspension suspends the machine of a process as far as its clocks can tell: the
-// steady clock stands still while the time of day and the time since the start go on.
+// Package suspension simulates the suspension of the machine that a process runs on: the
+// monotonic clock stops while the wall clock and the time since boot advance.
 package suspension
 
 import (
@@ -9,13 +9,14 @@
 	"github.com/cloverrail/cloverrail/internal/boottime"
 )
 
-// Machine is a machine that can be suspended.
+// Machine is a simulated machine that can be suspended.
 type Machine struct {
 	begun time.Time
 	slept atomic.Int64
 }
 
-// Begin lets the process run on a machine that can be suspended, until restore is called.
+// Install replaces the clocks of the process by those of a simulated machine until restore
+// is called.
 func Begin() (machine *Machine, restore func()) {
 	machine = &Machine{begun: time.Now()}
 	return machine, boottime.Use(boottime.New(boottime.Readings{
@@ -27,6 +28,6 @@
 
 func (m *Machine) asleep() time.Duration { return time.Duration(m.slept.Load()) }
 
-// Suspend suspends the machine for a time. Nothing of the process runs meanwhile: for it,
-// the suspension is over at once.
+// Suspend simulates a suspension of the given duration. It returns immediately, since the
+// process would not run during the suspension.
 func (m *Machine) Suspend(length time.Duration) { m.slept.Add(int64(length)) }
