--- a/internal/lab/machinestub/server.go
+++ b/internal/lab/machinestub/server.go
@@ -1,5 +1,5 @@
-// Package machinestub stands in for the platform's list of machines, which lags
-// behind reality.
+// Package machinestub implements a stub of the platform's machine list, which reports
+// changes with a delay.
 package machinestub
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cloverrail/cloverrail/internal/lab/standin"
 )
 
-// Machine is one entry.
+// Machine is an entry of the machine list.
 type Machine struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
@@ -23,24 +23,25 @@
 	machine Machine
 }
 
-// Server is the stand-in as an HTTP handler.
+// Server is the HTTP handler of the stub.
 type Server struct {
 	lag     time.Duration
 	mutex   sync.Mutex
 	changes []change
 }
 
-// New returns an empty list that lags by the given time.
+// New returns an empty list that reports changes after the given lag.
 func New(lag time.Duration) *Server { return &Server{lag: lag} }
 
-// Set changes an entry; readers see it after the lag.
+// Set changes an entry; clients see the change after the lag.
 func (server *Server) Set(machine Machine) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.changes = append(server.changes, change{at: time.Now(), machine: machine})
 }
 
-// ServeHTTP answers GET /machines and takes POST /machines.
+// ServeHTTP serves GET /machines, which returns the list, and POST /machines, which changes
+// an entry.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodPost {
 		machine, ok := standin.Read[Machine](writer, request)
