--- a/internal/lab/standin/json.go
+++ b/internal/lab/standin/json.go
@@ -1,4 +1,4 @@
-// Package standin holds what the HTTP stand-ins share.
+// Package standin provides helpers for the HTTP handlers of the stubs.
 package standin
 
 import (
@@ -6,13 +6,14 @@
 	"net/http"
 )
 
-// Answer writes a value as JSON.
+// WriteJSON writes a value as a JSON response.
 func Answer(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// Read decodes a request's body, or refuses the request.
+// ReadJSON decodes the JSON body of a request. If it is malformed, ReadJSON responds with
+// status 400 and returns false.
 func Read[Message any](writer http.ResponseWriter, request *http.Request) (Message, bool) {
 	var message Message
 	if err := json.NewDecoder(request.Body).Decode(&message); err != nil {
