--- a/internal/lab/enginemodel/engine.go
+++ b/internal/lab/enginemodel/engine.go
@@ -24,7 +24,7 @@
 	CacheBlocks int
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// ImportTokensPerSecond is the rate of importing blocks from the KV store.
+	// ImportTokensPerSecond is the rate of importing blocks from the prefix store.
 	ImportTokensPerSecond float64
 }
 
@@ -35,7 +35,7 @@
 	PromptTokens int
 	OutputTokens int
 	Priority     int
-	// ImportBlocks is the number of leading blocks available in the KV store.
+	// ImportBlocks is the number of leading blocks available in the prefix store.
 	ImportBlocks int
 }
 
@@ -49,7 +49,7 @@
 	// the number of blocks taken from the cache.
 	RecomputedTokens int
 	HitBlocks        int
-	// ImportedBlocks is the number of blocks imported from the KV store.
+	// ImportedBlocks is the number of blocks imported from the prefix store.
 	ImportedBlocks int
 }
 
--- a/internal/lab/enginemodel/kvstore.go
+++ b/internal/lab/enginemodel/prefixstore.go
@@ -7,13 +7,14 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// KVStore models the platform's external KV-cache store, which is much larger and
-// slower than the memory of an engine and shared by all engines.
+// PrefixStore models the platform's prefix store, which holds KV-cache blocks outside the
+// engines. It is much larger and slower than the memory of an engine and shared by all
+// engines.
 type Kept struct {
 	cache *cache
 }
 
-// NewKVStore returns an empty store with the given capacity in blocks.
+// NewPrefixStore returns an empty store with the given capacity in blocks.
 func NewKept(capacity int) *Kept { return &Kept{cache: newCache(capacity)} }
 
 // Store adds the blocks of a chain.
--- a/internal/lab/enginestub/transfer.go
+++ b/internal/lab/enginestub/transfer.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%016x", uint64(prefix.KeyOf(salt+"@"+version)))
 }
 
-// importableBlocks fetches the blocks that the request may import from the KV store and
+// importableBlocks fetches the blocks that the request may import from the prefix store and
 // returns the number of leading ones whose identity matches the request. If the store
 // fails or returns other blocks, they are recomputed.
 func importable(message *engineapi.CompletionRequest, version string, chain []prefix.Hash) int {
@@ -46,7 +46,7 @@
 	return len(found.Blocks)
 }
 
-// exportBlocks saves the blocks of a computed prompt to the KV store.
+// exportBlocks saves the blocks of a computed prompt to the prefix store.
 func export(store, identity string, chain []prefix.Hash) {
 	message := engineapi.KeptBlocks{}
 	for _, block := range chain {
--- a/internal/lab/experiment/policy.go
+++ b/internal/lab/experiment/policy.go
@@ -12,13 +12,13 @@
 	name() string
 	// perfectInformation reports whether the policy sees the true state of the engines.
 	perfect() bool
-	// importsBlocks reports whether the policy imports blocks from the KV store.
+	// importsBlocks reports whether the policy imports blocks from the prefix store.
 	imports() bool
 	choose(node int, request *routing.Request, candidates []routing.Candidate) int
 }
 
 // PolicyNames lists the policies in the order in which they are reported.
-// Policies whose name ends in +import use the KV store, as do cloverrail and oracle;
+// Policies whose name ends in +import use the prefix store, as do cloverrail and oracle;
 // cloverrail-no-import does not.
 var PolicyNames = []string{"cloverrail", "cloverrail-no-import", "random", "round-robin", "least-loaded", "rendezvous", "rendezvous+import", "longest-prefix", "oracle"}
 
--- a/internal/lab/experiment/profile.go
+++ b/internal/lab/experiment/profile.go
@@ -35,7 +35,7 @@
 	Workload   Workload
 	// LoadPropagation determines how nodes learn the load of engines.
 	LoadView LoadView
-	// KVStoreBlocks is the capacity of the KV store in blocks.
+	// PrefixStoreBlocks is the capacity of the prefix store in blocks.
 	KeptBlocks int
 	// MaxEventDelay is the maximum delay of cache events and load reports,
 	// EventLossRate the fraction of cache events that are lost.
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -18,7 +18,7 @@
 	FirstTokenP99        float64 `json:"ttft_p99_ms"`
 	BetweenTokensP95     float64 `json:"tbt_p95_ms"`
 	Refused              int     `json:"refused"`
-	// ImportedTokens is the number of prompt tokens imported from the KV store.
+	// ImportedTokens is the number of prompt tokens imported from the prefix store.
 	ImportedTokens int `json:"imported_tokens"`
 	// FirstTokenTimes are the times to first token in ascending order, for plots.
 	FirstTokens []time.Duration `json:"-"`
--- a/internal/lab/experiment/simulation.go
+++ b/internal/lab/experiment/simulation.go
@@ -305,10 +305,10 @@
 	run.at(run.now+readInterval, func() { run.read(engine) })
 }
 
-// kvStoreName is the name of the KV store among the holders of the index.
+// prefixStoreName is the name of the prefix store among the holders of the index.
 const keptName = "kept"
 
-// exportBlocks saves the computed blocks of a request to the KV store after exportDelay.
+// exportBlocks saves the computed blocks of a request to the prefix store after exportDelay.
 func (run *simulation) export(request *arrival) {
 	run.at(run.now+exportLag, func() {
 		run.kept.Store(request.chain, run.clock())
--- a/internal/lab/keptstub/server.go
+++ b/internal/lab/keptstub/server.go
@@ -1,5 +1,6 @@
-// Package keptstub implements a stub of the platform's external KV-cache store. It stores
-// the hashes and identities of blocks, not their contents.
+// Package keptstub implements a stub of the platform's prefix store, which holds KV-cache
+// blocks outside the engines. It stores the hashes and identities of blocks, not their
+// contents.
 package keptstub
 
 import (
