--- a/internal/lab/faults/verdict.go
+++ b/internal/lab/faults/verdict.go
@@ -36,7 +36,7 @@
 		run.leavingGetsNothing(),
 		run.revisions(),
 		run.restartsServe(),
-		{Guarantee: "the run itself", Checked: 1, Violations: run.violations},
+		{Guarantee: "the run completed without errors", Checked: 1, Violations: run.violations},
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 	for _, id := range run.refused {
 		if accepted[id] {
-			verdict.violate("change %s was both accepted and refused", id)
+			verdict.violate("change %s was both accepted and rejected", id)
 		}
 	}
 	return verdict
--- a/internal/lab/faultwire/forwarder.go
+++ b/internal/lab/faultwire/forwarder.go
@@ -168,7 +168,8 @@
 	}
 }
 
-// awaitMode blocks while the mode withholds the data of a direction.
+// awaitMode delays the data of a direction, or blocks while it is withheld, as the mode
+// requires.
 func (w *Wire) hold(answers bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -75,10 +75,10 @@
 	}
 	sort.Strings(kinds)
 	if len(kinds) == 0 {
-		row("refusals", "none")
+		row("rejections", "none")
 	}
 	for _, kind := range kinds {
-		row("refused: "+kind, summary.Refusals[kind])
+		row("rejected: "+kind, summary.Refusals[kind])
 	}
 	return columns.Flush()
 }
