--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -75,10 +75,10 @@
 	}
 	sort.Strings(kinds)
 	if len(kinds) == 0 {
-		row("rejections", "none")
+		row("refusals", "none")
 	}
 	for _, kind := range kinds {
-		row("rejected: "+kind, summary.Refusals[kind])
+		row("refused: "+kind, summary.Refusals[kind])
 	}
 	return columns.Flush()
 }
