--- a/internal/configstore/bench_test.go
+++ b/internal/configstore/bench_test.go
@@ -20,8 +20,8 @@
 	return declared
 }
 
-// BenchmarkSwap joins and compiles a whole declaration, as a node does for every
-// change, and reports its size.
+// BenchmarkCompileChange joins and compiles a complete declaration, as a node
+// does for every change, and reports its stored size and its size in memory.
 func BenchmarkSwap(b *testing.B) {
 	for _, tenants := range []int{100, 3_100, 31_000} {
 		b.Run(fmt.Sprint(tenants, "tenants"), func(b *testing.B) {
@@ -43,7 +43,7 @@
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			// One part is new, as after a change of one tenant.
+			// One part differs, as after a change to one tenant.
 			changed := parts[len(parts)-1]
 			changed.Data, _ = changed.Bytes()
 			for b.Loop() {
@@ -54,7 +54,7 @@
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(tenants), "B-stored/tenant")
-			// The stored bytes were counted before and are let go of by compiling.
+			// The first heap reading includes the stored bytes, which Compile releases.
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc)+float64(bytes))/float64(tenants), "B-held/tenant")
 			b.ReportMetric(float64(bytes)/float64(len(parts)), "B/part")
 			runtime.KeepAlive(snapshot)
--- a/internal/configstore/part.go
+++ b/internal/configstore/part.go
@@ -1,5 +1,6 @@
-// Package configstore keeps the declaration in the key-value service, split
-// into parts so that a change moves only what it touches.
+// Package configstore stores the declaration in the key-value service, split
+// into content-addressed parts so that a change writes and transfers only the
+// parts that differ.
 package configstore
 
 import (
@@ -19,25 +20,26 @@
 
 const (
 	basePart = "base"
-	// tenantsPerPart is the size aimed at; a part of it is about 10 KB.
+	// tenantsPerPart is the target size; a part of 64 tenants is about 10 KB.
 	tenantsPerPart = 64
-	// maximumTenantParts bounds the manifest.
+	// maxTenantParts bounds the size of the manifest.
 	maximumTenantParts = 512
 	digestBytes        = 12
 )
 
-// Part is one piece of a declaration. Its digest names its content, so a part
-// once stored never changes.
+// Part is one piece of a declaration. A part is identified by the digest of its
+// content, so a stored part never changes.
 type Part struct {
 	Name   string
 	Digest string
 	Data   []byte
-	// tenants takes the place of Data once the part is compiled; it is a window
-	// on the compiled declaration, so that tenants are held once.
+	// tenants replaces Data once the version is compiled. It is a subslice of the
+	// compiled declaration, so that each tenant is in memory once.
 	tenants []configuration.Tenant
 }
 
-// Bytes returns the part's content, made again from its tenants if need be.
+// Bytes returns the part's content, encoded again from its tenants if Data was
+// released.
 func (part *Part) Bytes() ([]byte, error) {
 	if part.tenants == nil {
 		return part.Data, nil
@@ -45,7 +47,7 @@
 	return json.Marshal(part.tenants)
 }
 
-// PartName names one part's content.
+// PartName identifies a part by name and content digest.
 type PartName struct {
 	Name   string `json:"name"`
 	Digest string `json:"digest"`
@@ -57,9 +59,10 @@
 	Parts    []PartName `json:"parts"`
 }
 
-// Split cuts a declaration into parts: one for everything but the tenants, and
-// the tenants by hash of their name. The number of tenant parts is a power of
-// two that grows with the number of tenants, so it changes seldom.
+// Split divides a declaration into a base part, which holds everything but the
+// tenants, and tenant parts, bucketed by hash of the tenant name. The number of
+// tenant parts is a power of two that grows with the number of tenants, so it
+// rarely changes.
 func Split(declaration *configuration.Declaration) ([]Part, error) {
 	base := *declaration
 	base.Tenants = nil
@@ -94,12 +97,12 @@
 	return Part{Name: name, Digest: hex.EncodeToString(sum[:digestBytes]), Data: data}
 }
 
-// Join puts a declaration together. Parts whose content does not match their
-// digest are refused.
+// Join assembles a declaration from its parts. It fails if a part's content does
+// not match its digest.
 func Join(parts []Part) (*configuration.Declaration, error) {
 	for _, part := range parts {
 		if part.tenants == nil && newPart(part.Name, part.Data).Digest != part.Digest {
-			return nil, errors.Errorf("part %s does not match its digest; it is fetched again", part.Name)
+			return nil, errors.Errorf("part %s does not match its digest; it will be fetched again", part.Name)
 		}
 	}
 	declaration, err := readBase(parts)
@@ -118,7 +121,7 @@
 	return declaration, nil
 }
 
-// readBase reads all of a declaration but its tenants.
+// decodeBase decodes everything in a declaration except its tenants.
 func readBase(parts []Part) (*configuration.Declaration, error) {
 	declaration := &configuration.Declaration{}
 	for _, part := range parts {
@@ -129,8 +132,8 @@
 	return declaration, nil
 }
 
-// read returns the tenants of the part; those of an unchanged part are taken
-// from the version before.
+// decodeTenants returns the tenants of the part. Tenants of a part that is
+// already compiled are reused from the previous version.
 func (part *Part) read() ([]configuration.Tenant, error) {
 	if part.Name == basePart || part.tenants != nil {
 		return part.tenants, nil
@@ -140,8 +143,8 @@
 	return tenants, errors.Trace(err)
 }
 
-// release lets go of the content of tenant parts, which the declaration holds
-// in the order of the parts.
+// shareTenants makes tenant parts refer to the declaration's tenants, which are
+// in the order of the parts, and releases the encoded content.
 func release(parts []Part, declaration *configuration.Declaration) error {
 	start := 0
 	for index := range parts {
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -14,7 +14,7 @@
 	"github.com/cloverrail/cloverrail/internal/kvservice"
 )
 
-// The keys used in the service.
+// Keys in the key-value service.
 const (
 	ManifestKey     = "/cloverrail/configuration/manifest"
 	partKeyPrefix   = "/cloverrail/configuration/part/"
@@ -22,38 +22,38 @@
 )
 
 const (
-	// partsReadSingly is how many missing parts are read one by one.
+	// maxSingleReads is the largest number of missing parts read one by one.
 	partsReadSingly = 4
-	// listedBeginning is the length of "tenants/" and one digit: at most 256 parts,
-	// some 4 MB, in one answer.
+	// listPrefixLength covers "tenants/" and one hex digit, which bounds a listing
+	// at 256 parts, about 4 MB.
 	listedBeginning = len("tenants/") + 1
 )
 
-// operationsPerTransaction stays under the service's usual limit of 128.
+// maxTransactionOps stays under the service's default limit of 128 operations.
 const operationsPerTransaction = 100
 
-// The marks stored under a change's key. Whichever is written first is final.
+// Statuses stored under a change's key. The first one written is final.
 const (
 	markAccepted = "accepted"
 	markVoid     = "void"
 )
 
-// KeyValues is what the store needs of the key-value service.
+// KeyValueService is the subset of the key-value service that Store uses.
 type KeyValues interface {
 	Get(ctx context.Context, key string) (kvservice.KeyValue, error)
 	List(ctx context.Context, prefix string) ([]kvservice.KeyValue, error)
 	Commit(ctx context.Context, transaction kvservice.TxnRequest) (kvservice.TxnResponse, error)
 }
 
-// Version is one accepted revision with all of its parts.
+// Version is one accepted revision of the declaration with all its parts.
 type Version struct {
 	Revision int64
 	Manifest Manifest
 	Parts    []Part
 }
 
-// Compile joins the parts and compiles them. It must be called before the
-// version is shared.
+// Compile joins the parts and compiles the declaration. It modifies the parts,
+// so it must be called before the version is shared between goroutines.
 func (version *Version) Compile() (*configuration.Snapshot, error) {
 	declaration, err := Join(version.Parts)
 	if err != nil {
@@ -70,13 +70,13 @@
 	service KeyValues
 }
 
-// New returns a store on the service.
+// New returns a store backed by the service.
 func New(service KeyValues) *Store {
 	return &Store{service: service}
 }
 
-// Read fetches the version in force, taking parts that known already holds from
-// there. The version is nil when nothing was ever applied.
+// Read fetches the version in force and reuses the parts already present in
+// cached, which may be nil. It returns nil if no declaration was ever applied.
 func (store *Store) Read(ctx context.Context, known *Version) (*Version, error) {
 	stored, err := store.service.Get(ctx, ManifestKey)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	version := &Version{Revision: stored.ModRevision}
 	if err := json.Unmarshal(stored.Value, &version.Manifest); err != nil {
-		return nil, errors.Annotate(err, "the stored manifest cannot be read; apply the declaration again")
+		return nil, errors.Annotate(err, "cannot decode the stored manifest; apply the declaration again")
 	}
 	held := HeldParts(known)
 	if err := store.fetch(ctx, version.Manifest, held); err != nil {
@@ -96,16 +96,18 @@
 	for _, name := range version.Manifest.Parts {
 		part, found := held[name]
 		if !found {
-			return nil, failure.New(failure.KindUnavailable, "part "+name.Name+" is gone; another change came meanwhile", "read again")
+			return nil, failure.New(failure.KindUnavailable, "part "+name.Name+" was deleted by a concurrent change", "read again")
 		}
 		version.Parts = append(version.Parts, part)
 	}
 	return version, nil
 }
 
-// fetch adds the manifest's missing parts to those held: one by one when few are
-// missing, as after a change, and by lists when many are, as after a restart. The
-// service's rate is small, and after a herd restart many nodes ask at once.
+// fetchParts adds the missing parts of the manifest to parts. It reads them one
+// by one if few are missing, as after a change, and by prefix listings if many
+// are, as after a restart. This limits the number of requests: the service
+// allows a low request rate, and after a simultaneous restart of the fleet many
+// nodes read at once.
 func (store *Store) fetch(ctx context.Context, manifest Manifest, held map[PartName]Part) error {
 	missing := []PartName{}
 	for _, name := range manifest.Parts {
@@ -128,7 +130,8 @@
 	return nil
 }
 
-// list reads the missing parts by lists of those whose names begin alike.
+// listParts reads the missing parts with one prefix listing for each distinct
+// name prefix.
 func (store *Store) list(ctx context.Context, missing []PartName, held map[PartName]Part) error {
 	listed := map[string]bool{}
 	for _, name := range missing {
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// HeldParts indexes the parts of a version, which may be nil.
+// PartsByName indexes the parts of a version, which may be nil.
 func HeldParts(version *Version) map[PartName]Part {
 	held := map[PartName]Part{}
 	if version == nil {
@@ -168,10 +171,11 @@
 	return partKeyPrefix + name.Name + "/" + name.Digest
 }
 
-// Propose makes the declaration the successor of base (nil for the first one).
-// It returns the new version exactly when the change is in force for good. Any
-// error of kind conflict means that it never will be. An error of kind
-// unknown_outcome means that the service could not be asked; Settle tells later.
+// Propose replaces base, which is nil for the first declaration, with the given
+// declaration. It returns the new version if and only if the change is
+// permanently in force. An error of kind conflict means that the change will
+// never take effect. An error of kind unknown_outcome means that the service
+// could not be reached; Settle determines the outcome later.
 func (store *Store) Propose(ctx context.Context, base *Version, changeID string, declaration *configuration.Declaration) (*Version, error) {
 	previous, err := previousHolders(base, declaration)
 	if err != nil {
@@ -180,7 +184,8 @@
 	return store.propose(ctx, base, changeID, declaration, previous)
 }
 
-// SettleHolders ends a change of the claim holders, once they have taken over.
+// FinishHolderChange removes the previous claim holders from the declaration
+// once the new ones have taken over.
 func (store *Store) SettleHolders(ctx context.Context, base *Version, changeID string) (*Version, error) {
 	declaration, err := Join(base.Parts)
 	if err != nil {
@@ -189,7 +194,8 @@
 	return store.propose(ctx, base, changeID, declaration, nil)
 }
 
-// previousHolders says which holders have to hand over under the declaration.
+// previousHolders returns the holders whose claims the holders of the
+// declaration have to take over.
 func previousHolders(base *Version, declaration *configuration.Declaration) ([]string, error) {
 	if base == nil {
 		return nil, nil
@@ -202,8 +208,8 @@
 		return before.Claims.Previous, nil
 	}
 	if len(before.Claims.Previous) > 0 {
-		return nil, failure.New(failure.KindConflict, "a change of claims.holders is still under way",
-			"apply again once the holders have taken over; all but one of the old and of the new must be up")
+		return nil, failure.New(failure.KindConflict, "a change of claims.holders is still in progress",
+			"apply again once the new holders have taken over; at most one of the old and one of the new holders may be down")
 	}
 	return before.Claims.Holders, nil
 }
@@ -225,12 +231,12 @@
 		version.Revision = answer.Header.Revision
 		return version, nil
 	}
-	// A lost answer and a failed comparison look alike from here: the first try
-	// of a repeated transaction may have been the one that took effect.
+	// A lost response and a failed comparison are indistinguishable here: an
+	// earlier attempt of a retried transaction may have taken effect.
 	accepted, settleError := store.Settle(ctx, changeID)
 	if settleError != nil {
-		return nil, failure.New(failure.KindUnknownOutcome, "the key-value service gave no answer on change "+changeID,
-			"ask again with `cloverrail apply --settle "+changeID+"`").WithOutcome(failure.Unknown)
+		return nil, failure.New(failure.KindUnknownOutcome, "the key-value service did not confirm change "+changeID,
+			"determine its outcome with `cloverrail apply --settle "+changeID+"`").WithOutcome(failure.Unknown)
 	}
 	if !accepted {
 		return nil, store.conflict(ctx, base)
@@ -238,8 +244,8 @@
 	return store.Read(ctx, version)
 }
 
-// prepare stores new parts that do not fit into the deciding transaction and
-// returns that transaction.
+// prepare returns the transaction that puts the version in force. New parts that
+// do not fit into it are stored beforehand.
 func (store *Store) prepare(ctx context.Context, base, version *Version) (kvservice.TxnRequest, error) {
 	held := HeldParts(base)
 	puts := []kvservice.RequestOp{}
@@ -254,7 +260,8 @@
 	for len(puts) > operationsPerTransaction/2 {
 		early := puts[:operationsPerTransaction/2]
 		if _, err := store.service.Commit(ctx, kvservice.TxnRequest{Success: early}); err != nil {
-			// Parts without a manifest change nothing, whatever became of them.
+			// Parts that no manifest refers to have no effect, so the change did
+			// not run even if they were stored.
 			return kvservice.TxnRequest{}, failure.As(err).WithOutcome(failure.NotRun)
 		}
 		puts = puts[len(early):]
@@ -280,12 +287,12 @@
 	}, nil
 }
 
-// Settle decides a change whose answer was lost. It writes a mark that voids
-// the change unless the change is already in force; after that a delayed
+// Settle determines the outcome of a change whose response was lost. Unless the
+// change is already in force, it marks the change void, after which a delayed
 // transaction of the change can no longer take effect.
 func (store *Store) Settle(ctx context.Context, changeID string) (accepted bool, err error) {
 	key := changeKeyPrefix + changeID
-	// The answer does not matter: if the mark was lost or refused, the read shows it.
+	// The result is ignored: the read below shows whether the status was written.
 	_, _ = store.service.Commit(ctx, kvservice.TxnRequest{
 		Compare: []kvservice.Compare{kvservice.IfAbsent(key)},
 		Success: []kvservice.RequestOp{kvservice.Put(key, []byte(markVoid))},
@@ -295,12 +302,12 @@
 		return false, err
 	}
 	if mark.ModRevision == 0 {
-		return false, failure.New(failure.KindUnknownOutcome, "the change could not be settled", "ask again").WithOutcome(failure.Unknown)
+		return false, failure.New(failure.KindUnknownOutcome, "the outcome of the change could not be determined", "try again").WithOutcome(failure.Unknown)
 	}
 	return string(mark.Value) == markAccepted, nil
 }
 
-// revisionOf is 0 for the absence of any version.
+// revisionOf returns the revision of a version, or 0 for nil.
 func revisionOf(version *Version) int64 {
 	if version == nil {
 		return 0
@@ -309,9 +316,9 @@
 }
 
 func (store *Store) conflict(ctx context.Context, base *Version) error {
-	problem := fmt.Sprintf("another change came after revision %d", revisionOf(base))
+	problem := fmt.Sprintf("another change replaced revision %d", revisionOf(base))
 	if winner, err := store.Read(ctx, base); err == nil && winner != nil {
-		problem = fmt.Sprintf("revision %d, change %s, came after revision %d", winner.Revision, winner.Manifest.ChangeID, revisionOf(base))
+		problem = fmt.Sprintf("revision %d, change %s, replaced revision %d", winner.Revision, winner.Manifest.ChangeID, revisionOf(base))
 	}
 	return failure.New(failure.KindConflict, problem, "run `cloverrail plan` to see the difference, then apply again")
 }
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -16,8 +16,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// unreliable is a service that loses answers after the effect, refuses, and
-// lets transactions take effect long after their caller gave up.
+// flakyService is a key-value service that loses responses after committing,
+// rejects requests, and commits transactions long after their caller gave up.
 type unreliable struct {
 	t       *rapid.T
 	store   *kvstub.Store
@@ -25,7 +25,7 @@
 	calm    bool
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoAnswer = errors.New("no response")
 
 func (service *unreliable) fate() string {
 	if service.calm {
@@ -69,7 +69,7 @@
 	}
 }
 
-// release lets one delayed transaction take effect.
+// commitDelayed commits the oldest delayed transaction.
 func (service *unreliable) release() {
 	if len(service.delayed) > 0 {
 		service.store.Commit(service.delayed[0])
@@ -85,9 +85,10 @@
 	return declared
 }
 
-// TestAcceptedExactlyWhenInForce lets operators race over a service that harms
-// every call. What was said to be accepted is in the history of revisions, what
-// was said to be refused never is, and what was unknown can be settled.
+// TestChangeIsAcceptedIfAndOnlyIfInForce proposes competing changes through a
+// service that fails on any call. Accepted changes must appear in the revision
+// history, rejected ones must never appear, and Settle must resolve those with an
+// unknown outcome.
 func TestAcceptedExactlyWhenInForce(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		service := &unreliable{t: t, store: kvstub.NewStore()}
@@ -122,7 +123,7 @@
 			case err == nil:
 				accepted = append(accepted, change)
 				require.Equal(t, history[change], version.Revision)
-				require.Equal(t, inForce, revisionOf(base), "a change never overwrites one that its operator had not seen")
+				require.Equal(t, inForce, revisionOf(base), "a change must not overwrite a revision that its operator had not read")
 			case failure.Is(err, failure.KindConflict) || failure.As(err).Outcome == failure.NotRun:
 				refused = append(refused, change)
 			default:
@@ -144,10 +145,10 @@
 			observe()
 		}
 		for _, change := range accepted {
-			require.Contains(t, history, change, "accepted means in force")
+			require.Contains(t, history, change, "accepted changes must be in the history")
 		}
 		for _, change := range refused {
-			require.NotContains(t, history, change, "refused means never in force")
+			require.NotContains(t, history, change, "rejected changes must never be in the history")
 		}
 	})
 }
@@ -181,7 +182,7 @@
 		}
 	}
 	require.Equal(t, 1, moved)
-	t.Logf("%d parts, %d bytes moved", len(after), bytes)
+	t.Logf("%d parts, %d bytes rewritten", len(after), bytes)
 }
 
 func TestCompiledPartsServeTheSameBytes(t *testing.T) {
