--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -13,22 +13,22 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Checker reports faults that need more than one field to see. Path names are
-// those of the file, such as pools[0].engines[1].name.
+// Checker is implemented by values with constraints that span several fields.
+// Paths are those of the file, such as pools[0].engines[1].name.
 type Checker interface {
 	Check(report func(path, problem, remedy string))
 }
 
-// Decode reads data into out, a pointer to a struct with yaml and validate
-// tags. The error is Faults when the file is wrong.
+// Decode decodes data into out, a pointer to a struct with yaml and validate
+// tags. If the file is invalid, the error is of type Diagnostics.
 func Decode(file string, data []byte, out any) error {
 	walk, err := structure(file, data, out)
 	if err != nil {
 		return err
 	}
 	sound := len(walk.faults) == 0
-	// Range faults are reported together with the structural ones; references
-	// only make sense once the structure is sound.
+	// Range violations are reported together with structural ones. References are
+	// checked only if the structure is valid.
 	walk.validate(out)
 	if sound {
 		walk.cross(out)
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// DecodePartial is Decode for a file whose values may still be overridden: keys
-// and types are checked, ranges and references are not.
+// DecodePartial decodes a file whose values may still be overridden. It checks
+// keys and types, but not ranges and references.
 func DecodePartial(file string, data []byte, out any) error {
 	walk, err := structure(file, data, out)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// structure checks keys and types and decodes what is sound.
+// checkStructure checks keys and types and decodes the data into out.
 func structure(file string, data []byte, out any) (*walker, error) {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -68,7 +68,8 @@
 	return walk, nil
 }
 
-// Validate checks a value that came without a file, such as one read from JSON.
+// Validate checks the ranges and references of a value that was not read from a
+// YAML file, such as one decoded from JSON.
 func Validate(name string, value any) error {
 	walk := &walker{file: name, lines: map[string]int{}}
 	walk.validate(value)
@@ -99,7 +100,7 @@
 	walk.faults = append(walk.faults, Fault{File: walk.file, Line: walk.line(path), Field: path, Problem: problem, Remedy: remedy})
 }
 
-// line finds the line of the path, or of the nearest enclosing value.
+// lineOf returns the line of the path, or of the nearest enclosing value.
 func (walk *walker) line(path string) int {
 	for path != "" {
 		if line, found := walk.lines[path]; found {
@@ -166,7 +167,7 @@
 		case !known:
 			walk.report(child, "unknown key", "use one of: "+strings.Join(names, ", "))
 		case seen[key]:
-			walk.report(child, "key given twice", "keep one of them")
+			walk.report(child, "duplicate key", "remove one of them")
 		default:
 			seen[key] = true
 			walk.node(child, iterator.Value(), field)
@@ -177,7 +178,7 @@
 func (walk *walker) sequence(path string, node ast.Node, kind reflect.Type) {
 	items, ok := node.(*ast.SequenceNode)
 	if !ok {
-		walk.report(path, "is not a list", "write it as - items")
+		walk.report(path, "is not a list", "write it as a list of - items")
 		return
 	}
 	for index, item := range items.Values {
@@ -273,7 +274,7 @@
 	case "hexadecimal":
 		return "is not hexadecimal", "use digits 0-9 and a-f"
 	case "oneof":
-		return fmt.Sprintf("%q is not a choice", failure.Value()), "use one of: " + failure.Param()
+		return fmt.Sprintf("%q is not an accepted value", failure.Value()), "use one of: " + failure.Param()
 	case "unique":
 		return "has entries with the same " + strings.ToLower(failure.Param()), "make them unique"
 	default:
--- a/internal/strictyaml/fault.go
+++ b/internal/strictyaml/diagnostic.go
@@ -1,5 +1,5 @@
-// Package strictyaml decodes YAML files and reports every fault at once, each
-// with its file, line, field and remedy.
+// Package strictyaml decodes YAML files and reports all errors of a file at once,
+// each with its file, line, field and remedy.
 package strictyaml
 
 import (
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
+// Diagnostic describes one error in a file.
 type Fault struct {
-	// File is the name the caller gave, as it should be shown.
+	// File is the name of the file as given by the caller.
 	File string
-	// Line counts from 1; 0 means that no line could be named.
+	// Line counts from 1; 0 means that the line is not known.
 	Line int
 	// Field is the path of the value, such as tenants[2].limits.burst.
 	Field string
-	// Problem says what is wrong.
+	// Problem describes the error.
 	Problem string
-	// Remedy says what to write instead.
+	// Remedy describes how to correct it.
 	Remedy string
 }
 
-// String renders the fault on one line.
+// String formats the diagnostic on one line.
 func (fault Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s; %s", fault.File, fault.Line, fault.Field, fault.Problem, fault.Remedy)
 }
 
-// Faults is the error that carries every fault found in one file.
+// Diagnostics is the error that holds all diagnostics of one file.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the diagnostics, one per line.
 func (faults Faults) Error() string {
 	lines := make([]string, len(faults))
 	for index, fault := range faults {
