--- a/internal/kvservice/client.go
+++ b/internal/kvservice/client.go
@@ -1,5 +1,5 @@
-// Package kvservice is the adapter for the platform's key-value service. It
-// speaks etcd v3's published JSON mapping over HTTP.
+// Package kvservice is a client for the platform's key-value service. It uses
+// the JSON mapping of the etcd v3 API over HTTP.
 package kvservice
 
 import (
@@ -14,22 +14,23 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// RequestTimeout bounds one call. A call that ends by it may have taken effect.
+// RequestTimeout bounds one call. A call that times out may have taken effect.
 const RequestTimeout = 2 * time.Second
 
-// Client calls the service.
+// Client calls the key-value service.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the service at an IP address and port.
+// NewClient returns a client for the service at an IP address and port.
 func NewClient(address string) *Client {
 	return &Client{base: "http://" + address, http: &http.Client{}}
 }
 
-// call posts one message. The error is a failure.Failure: its outcome is
-// failure.NotRun only when the service itself said that it refused.
+// call posts one request and decodes the response into result. If the exchange
+// fails, the error is a failure.Failure, whose outcome is failure.NotRun only if
+// the service itself rejected the request.
 func (client *Client) call(ctx context.Context, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
@@ -40,17 +41,17 @@
 	var refusal ErrorResponse
 	response, err := sling.New().Client(client.http).Do(request.WithContext(ctx), answer, &refusal)
 	if err != nil {
-		return failure.New(failure.KindUnavailable, "the key-value service gave no answer: "+err.Error(),
-			"check that it runs at "+client.base).WithOutcome(failure.Unknown)
+		return failure.New(failure.KindUnavailable, "the key-value service did not respond: "+err.Error(),
+			"check that it is running at "+client.base).WithOutcome(failure.Unknown)
 	}
 	if response.StatusCode != http.StatusOK {
-		return failure.New(failure.KindUnavailable, "the key-value service refused: "+refusal.Message,
+		return failure.New(failure.KindUnavailable, "the key-value service rejected the request: "+refusal.Message,
 			"wait until it accepts requests again").WithRetryAfter(time.Second)
 	}
 	return nil
 }
 
-// Get reads one key. A missing key is a KeyValue with ModRevision 0.
+// Get reads one key. For a missing key it returns a KeyValue with ModRevision 0.
 func (client *Client) Get(ctx context.Context, key string) (KeyValue, error) {
 	var answer RangeResponse
 	if err := client.call(ctx, "/v3/kv/range", RangeRequest{Key: []byte(key)}, &answer); err != nil {
@@ -62,7 +63,7 @@
 	return answer.Kvs[0], nil
 }
 
-// List reads all keys that begin with the prefix.
+// List reads all keys with the prefix.
 func (client *Client) List(ctx context.Context, prefix string) ([]KeyValue, error) {
 	end := []byte(prefix)
 	end[len(end)-1]++
@@ -71,31 +72,31 @@
 	return answer.Kvs, err
 }
 
-// Commit runs a transaction and reports whether its comparisons held, and the
-// revision after it.
+// Commit runs a transaction. The response reports whether its comparisons held
+// and the revision after it.
 func (client *Client) Commit(ctx context.Context, transaction TxnRequest) (TxnResponse, error) {
 	var answer TxnResponse
 	err := client.call(ctx, "/v3/kv/txn", transaction, &answer)
 	return answer, err
 }
 
-// GrantLease opens a lease.
+// GrantLease creates a lease and returns its ID.
 func (client *Client) GrantLease(ctx context.Context, life time.Duration) (int64, error) {
 	var answer LeaseGrantResponse
 	err := client.call(ctx, "/v3/lease/grant", LeaseGrantRequest{TTL: int64(life / time.Second)}, &answer)
 	return answer.ID, err
 }
 
-// KeepAlive renews a lease and reports whether it still lives.
+// KeepAlive renews a lease and reports whether it still exists.
 func (client *Client) KeepAlive(ctx context.Context, lease int64) (bool, error) {
 	var answer LeaseKeepAliveResponse
 	err := client.call(ctx, "/v3/lease/keepalive", LeaseKeepAliveRequest{ID: lease}, &answer)
 	return answer.Result.TTL > 0, err
 }
 
-// Watch calls changed with each new revision of the key until the watch or the
-// context ends. It returns at once when the watch breaks; callers read the key
-// afresh and watch again.
+// Watch calls onChange for each new revision of the key, starting at
+// startRevision, until the watch or the context ends. It does not reconnect:
+// callers read the key again and open a new watch.
 func (client *Client) Watch(ctx context.Context, key string, from int64, changed func(KeyValue)) error {
 	message := WatchRequest{CreateRequest: WatchCreateRequest{Key: []byte(key), StartRevision: from}}
 	request, err := sling.New().Base(client.base).Post("/v3/watch").BodyJSON(message).Request()
@@ -104,14 +105,14 @@
 	}
 	response, err := client.http.Do(request.WithContext(ctx))
 	if err != nil {
-		return errors.Annotate(err, "the watch did not open; it is tried again")
+		return errors.Annotate(err, "cannot open the watch; it will be retried")
 	}
 	defer response.Body.Close()
 	decoder := json.NewDecoder(response.Body)
 	for {
 		var update WatchResponse
 		if err := decoder.Decode(&update); err != nil {
-			return errors.Annotate(err, "the watch ended; it is opened again")
+			return errors.Annotate(err, "the watch ended; it will be reopened")
 		}
 		for _, event := range update.Result.Events {
 			changed(event.Kv)
@@ -129,7 +130,8 @@
 	return RequestOp{RequestDeleteRange: &DeleteRangeRequest{Key: []byte(key)}}
 }
 
-// IfModified returns the condition that the key was last changed at revision.
+// IfModified returns the condition that the key was last modified at the
+// revision.
 func IfModified(key string, revision int64) Compare {
 	return Compare{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: &revision}
 }
--- a/internal/kvservice/messages.go
+++ b/internal/kvservice/messages.go
@@ -1,20 +1,20 @@
 package kvservice
 
-// The messages of the key-value service's JSON mapping. Byte fields travel as
-// base64 and 64-bit numbers as decimal strings, as that mapping prescribes.
+// Messages of the key-value service's JSON mapping, which encodes byte fields as
+// base64 and 64-bit integers as decimal strings.
 
-// RangeRequest asks for one key, or for all keys in [Key, RangeEnd).
+// RangeRequest reads one key, or all keys in [Key, RangeEnd).
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// ResponseHeader carries the service's revision.
+// ResponseHeader carries the store's revision.
 type ResponseHeader struct {
 	Revision int64 `json:"revision,string"`
 }
 
-// KeyValue is one stored pair.
+// KeyValue is one stored key-value pair.
 type KeyValue struct {
 	Key            []byte `json:"key"`
 	Value          []byte `json:"value"`
@@ -38,7 +38,7 @@
 	CreateRevision *int64 `json:"create_revision,string,omitempty"`
 }
 
-// PutRequest stores one pair.
+// PutRequest stores one key-value pair.
 type PutRequest struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value"`
@@ -56,7 +56,7 @@
 	RequestDeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success when every comparison holds.
+// TxnRequest runs the operations in Success if every comparison holds.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
@@ -68,12 +68,12 @@
 	Succeeded bool           `json:"succeeded"`
 }
 
-// LeaseGrantRequest asks for a lease of TTL seconds.
+// LeaseGrantRequest creates a lease of TTL seconds.
 type LeaseGrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
 
-// LeaseGrantResponse names the lease.
+// LeaseGrantResponse identifies the lease.
 type LeaseGrantResponse struct {
 	ID  int64 `json:"ID,string"`
 	TTL int64 `json:"TTL,string"`
@@ -84,7 +84,8 @@
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseKeepAliveResponse holds the lease's new life; TTL 0 means it lapsed.
+// LeaseKeepAliveResponse holds the lease's remaining TTL; 0 means that it
+// expired.
 type LeaseKeepAliveResponse struct {
 	Result LeaseGrantResponse `json:"result"`
 }
@@ -94,7 +95,7 @@
 	CreateRequest WatchCreateRequest `json:"create_request"`
 }
 
-// WatchCreateRequest names what is watched, from which revision.
+// WatchCreateRequest selects the key to watch and the first revision to report.
 type WatchCreateRequest struct {
 	Key           []byte `json:"key"`
 	StartRevision int64  `json:"start_revision,string,omitempty"`
@@ -105,7 +106,8 @@
 	Result WatchResult `json:"result"`
 }
 
-// WatchResult carries events; a message without events opens the watch.
+// WatchResult carries events. The first message, which confirms the watch, has
+// none.
 type WatchResult struct {
 	Header ResponseHeader `json:"header"`
 	Events []WatchEvent   `json:"events,omitempty"`
@@ -117,7 +119,7 @@
 	Kv   KeyValue `json:"kv"`
 }
 
-// ErrorResponse is what the service answers when it refuses.
+// ErrorResponse is the body of a response that rejects a request.
 type ErrorResponse struct {
 	Message string `json:"message"`
 	Code    int    `json:"code"`
