--- a/internal/eventreader/reader.go
+++ b/internal/eventreader/reader.go
@@ -1,5 +1,6 @@
-// Package eventreader follows one engine's cache events and turns them into
-// batches for the nodes that keep the index. It is a pure state machine.
+// Package eventreader tracks the cache contents of one engine from its cache
+// events and converts them into updates for the nodes that hold the prefix
+// index. It is a pure state machine.
 package eventreader
 
 import (
@@ -10,66 +11,68 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// snapshotPause is the least time between two snapshots of one engine, so that
-// gaps in a herd do not bury it.
+// minSnapshotInterval is the minimum time between two snapshots of one engine,
+// so that a burst of gaps does not overload it.
 const snapshotPause = 2 * time.Second
 
-// Reader is the state of following one engine.
+// Reader tracks the cache contents of one engine.
 type Reader struct {
 	endpoint string
 	epoch    string
 	sequence uint64
-	// places knows each block's place in its chain; the chain's first block decides
-	// which node keeps the block.
+	// positions holds each block's position in its chain. The first block of the
+	// chain determines which index partition holds the block.
 	places map[prefix.Hash]place
-	// stale says that events were missed, so a snapshot is wanted.
+	// needsSnapshot is set if events were missed.
 	stale      bool
 	snapshotAt time.Time
 }
 
-// place is a block's place in its chain.
+// chainPosition is a block's position in its chain.
 type place struct {
 	root prefix.Hash
 	// depth counts from 1.
 	depth int32
 }
 
-// New returns a reader that wants a snapshot first.
+// New returns a reader that needs an initial snapshot.
 func New(endpoint string) *Reader {
 	return &Reader{endpoint: endpoint, places: map[prefix.Hash]place{}, stale: true}
 }
 
-// After is the sequence number to ask events after.
+// LastSequence returns the sequence number of the last event applied; the next
+// poll asks for the events after it.
 func (reader *Reader) After() uint64 { return reader.sequence }
 
-// SnapshotDue reports whether a snapshot is wanted and may be asked for now.
+// SnapshotDue reports whether a snapshot is needed and may be requested now.
 func (reader *Reader) SnapshotDue(now time.Time) bool {
 	return reader.stale && now.Sub(reader.snapshotAt) >= snapshotPause
 }
 
-// Holder names the incarnation followed.
+// Holder identifies the engine incarnation being tracked.
 func (reader *Reader) Holder() prefixindex.Holder {
 	return prefixindex.NewHolder(reader.endpoint, reader.epoch)
 }
 
-// Change is what a batch or snapshot did, with the root of each block.
+// Change is the effect of an event batch or snapshot on the engine's cache.
 type Change struct {
-	// Events counts those of the batch.
+	// Events is the number of events applied.
 	Events  int
 	Clear   bool
 	Stored  []Placed
 	Evicted []Placed
 }
 
-// Placed is a block with the root that decides its home.
+// PositionedBlock is a block with its position in its chain. Root, the first
+// block of the chain, determines which index partition holds it.
 type Placed struct {
 	Block prefix.Hash
 	Root  prefix.Hash
-	// Depth of the block in its chain, from 1.
+	// Depth in the chain counts from 1.
 	Depth int
 }
 
-// Update puts the change into the words of the index.
+// Update converts the change into an index update.
 func (change Change) Update(holder prefixindex.Holder) prefixindex.Update {
 	update := prefixindex.Update{Holder: holder, Clear: change.Clear}
 	for _, item := range change.Stored {
@@ -81,18 +84,18 @@
 	return update
 }
 
-// Cleared returns the change as one that starts afresh.
+// WithClear returns a copy that replaces all earlier state of the holder.
 func (change Change) Cleared() Change {
 	change.Clear = true
 	return change
 }
 
-// Take follows a batch of events. Stores and evictions of one block within the
-// batch cancel out.
+// ApplyBatch applies a batch of events. Stores and evictions of the same block
+// within the batch cancel out.
 func (reader *Reader) Take(batch engineapi.EventBatch) Change {
 	change := Change{}
 	if batch.Epoch != reader.epoch {
-		// The engine came back empty: nothing known of it holds any longer.
+		// The engine restarted with an empty cache.
 		reader.begin(batch.Epoch)
 		change.Clear = true
 		reader.stale = batch.Epoch != ""
@@ -137,7 +140,7 @@
 	return change
 }
 
-// Reset takes a snapshot in place of all that was known.
+// ApplySnapshot replaces the state with a snapshot.
 func (reader *Reader) Reset(now time.Time, snapshot engineapi.Snapshot) Change {
 	reader.begin(snapshot.Epoch)
 	reader.sequence = snapshot.Sequence
@@ -149,7 +152,8 @@
 	return reader.All()
 }
 
-// All is the whole of what is known, for a node that has to start afresh.
+// FullState returns a change that conveys the complete state, for an index node
+// that missed an update.
 func (reader *Reader) All() Change {
 	return Change{Clear: true, Stored: placed(reader.places)}
 }
@@ -163,8 +167,8 @@
 func (reader *Reader) store(event engineapi.CacheEvent) place {
 	stands := place{root: event.Block, depth: 1}
 	if event.Parent != 0 {
-		// A parent lost in a gap makes this block its own root until the
-		// snapshot that the gap calls for.
+		// If the parent was lost in a gap, the block is treated as a root until
+		// the snapshot that follows the gap.
 		if parent, found := reader.places[event.Parent]; found {
 			stands = place{root: parent.root, depth: parent.depth + 1}
 		}
--- a/internal/eventreader/reader_test.go
+++ b/internal/eventreader/reader_test.go
@@ -15,9 +15,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// TestIndexConvergesAfterGaps runs an engine whose events are lost at random and
-// that crashes, and checks that the index agrees with its cache once a snapshot
-// has made up for the gaps.
+// TestIndexConvergesAfterGaps loses events at random and crashes the engine, and
+// checks that the index matches the engine's cache after the next snapshot.
 func TestIndexConvergesAfterGaps(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		config := enginemodel.Standard(time.Millisecond, 1e9)
@@ -63,7 +62,7 @@
 			serve(rapid.Uint64Range(1, 6).Draw(t, "root"), rapid.IntRange(1, 12).Draw(t, "length"))
 			read(true)
 		}
-		// A last event shows a gap at the end of what was read.
+		// One more event reveals a gap at the end of the sequence.
 		serve(99, 1)
 		read(false)
 		now = now.Add(snapshotPause)
@@ -94,7 +93,8 @@
 	require.True(t, reader.SnapshotDue(now.Add(snapshotPause)))
 }
 
-// BenchmarkTake reads batches as one poll of a busy engine brings them.
+// BenchmarkApplyBatch applies batches of the size that one poll of a busy engine
+// returns.
 func BenchmarkTake(b *testing.B) {
 	const batchLength = 50
 	reader := New("engine")
@@ -116,7 +116,7 @@
 	b.ReportMetric(batchLength*float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkMemory reports the bytes that a reader keeps for each block.
+// BenchmarkReaderMemoryPerBlock reports the memory that a reader uses per block.
 func BenchmarkMemory(b *testing.B) {
 	const blocks = 112_000
 	for b.Loop() {
