--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -1,5 +1,5 @@
-// Package eventstream splits a text/event-stream into its whole events without
-// changing a byte of them.
+// Package eventstream splits a text/event-stream into events and preserves their
+// bytes exactly.
 package eventstream
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/juju/errors"
 )
 
-// maximumEvent bounds one event in bytes.
+// maxEventBytes bounds the size of one event.
 const maximumEvent = 1 << 20
 
-// ErrTooLong says that an event is longer than the reader takes.
-var ErrTooLong = errors.New("an event of the stream is too long")
+// ErrEventTooLong is returned for an event that exceeds the size limit.
+var ErrTooLong = errors.New("event of the stream exceeds 1 MiB")
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw is the event as it came, with the blank line that ends it. It is valid
-	// until the next call.
+	// Raw holds the bytes of the event as received, including the terminating
+	// blank line. It is valid until the next call of Next.
 	Raw []byte
-	// ID is the event's number; HasID says that there was one.
+	// ID is the numeric event ID; HasID reports whether the event had one.
 	ID    int64
 	HasID bool
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	raw    []byte
@@ -38,8 +38,8 @@
 	return &Reader{source: bufio.NewReaderSize(source, buffer)}
 }
 
-// Next returns the next whole event. io.EOF means that the stream ended between
-// two events; io.ErrUnexpectedEOF, that it ended within one.
+// Next returns the next complete event. The error is io.EOF if the stream ended
+// between two events, and io.ErrUnexpectedEOF if it ended within one.
 func (reader *Reader) Next() (Event, error) {
 	reader.raw = reader.raw[:0]
 	event := Event{}
@@ -63,7 +63,7 @@
 	}
 }
 
-// line appends one line, with its end, to the event.
+// readLine appends one line, including its terminator, to the raw event.
 func (reader *Reader) line() error {
 	for {
 		part, err := reader.source.ReadSlice('\n')
