--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -184,7 +184,7 @@
 	return store.propose(ctx, base, changeID, declaration, previous)
 }
 
-// FinishHolderChange removes the previous claim holders from the declaration
+// CompleteHolderChange removes the previous claim holders from the declaration
 // once the new ones have taken over.
 func (store *Store) SettleHolders(ctx context.Context, base *Version, changeID string) (*Version, error) {
 	declaration, err := Join(base.Parts)
