--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -21,7 +21,8 @@
 	return chain
 }
 
-// encodedBytes is what one more message costs on a kept connection.
+// encodedBytes returns the size of one more message on a persistent connection,
+// after the type descriptors were sent.
 func encodedBytes(b *testing.B, message any) float64 {
 	type envelope struct {
 		Body    any
@@ -50,7 +51,8 @@
 	return float64(sent.Len()-first) / float64(count)
 }
 
-// BenchmarkLookupBytes is a lookup of a prompt of 64 blocks, held by three engines.
+// BenchmarkLookupBytes measures the lookup of a 64-block prompt held by three
+// engines.
 func BenchmarkLookupBytes(b *testing.B) {
 	anchors := prefixindex.Anchors(hashes(64))
 	b.Run("request", func(b *testing.B) {
@@ -67,8 +69,8 @@
 	})
 }
 
-// BenchmarkUpdateBytes is what one request's 26 stored and 26 evicted blocks cost
-// when their anchors go to two homes.
+// BenchmarkUpdateBytes measures the index updates for one request that stores 26
+// and evicts 26 blocks, whose anchors go to two index partitions.
 func BenchmarkUpdateBytes(b *testing.B) {
 	blocks := prefixindex.Anchors(hashes(52))[4:]
 	update := IndexUpdate{Reader: "10.0.1.77:8081", Sequence: 100_000, Load: engineapi.Load{Running: 30, PrefillTokens: 9000},
@@ -76,7 +78,7 @@
 	b.ReportMetric(2*encodedBytes(b, update), "B/request")
 }
 
-// BenchmarkClaimBytes is one claim at one holder.
+// BenchmarkClaimBytes measures one claim request to one holder.
 func BenchmarkClaimBytes(b *testing.B) {
 	request := ClaimRequest{Roster: "10.0.0.1:8081,10.0.0.2:8081,10.0.0.3:8081", Owner: uuid.NewString()}
 	request.Key.Tenant, request.Key.Value = "studio-aalto/vuoro-api", uuid.NewString()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire defines the calls between nodes. All of them bear repetition.
+// Package wire defines the messages of calls between nodes. Every call is safe to
+// retry.
 package wire
 
 import (
@@ -13,131 +14,137 @@
 	"github.com/cloverrail/cloverrail/internal/prefixindex"
 )
 
-// SyncRequest asks a peer for its whole view of members and items, unless it is
-// the asker's own.
+// SyncRequest asks a peer for its complete view of members and items, unless the
+// views are equal.
 type SyncRequest struct {
-	// Self is the asker, whom the peer may not know yet.
+	// Self is the requester, which the peer may not know yet.
 	Self membership.Member
-	// Digest of the asker's view.
+	// Digest is the digest of the requester's view.
 	Digest uint64
 }
 
-// SyncAnswer is that view.
+// SyncResponse carries the peer's view.
 type SyncAnswer struct {
-	// Same says that the view is left out, since it has the asker's digest.
+	// Same is set if the view is omitted because the digests are equal.
 	Same     bool
 	Members  []membership.Member
 	Items    []membership.Item
 	Revision int64
 }
 
-// ConfigurationRequest asks for the configuration in force at the peer, but for
-// the parts that the asker holds.
+// ConfigurationRequest asks for the configuration in force at the peer, except
+// for the parts that the requester already has.
 type ConfigurationRequest struct {
 	Held []configstore.PartName
 }
 
-// ConfigurationAnswer is the peer's version; Revision 0 means that it has none.
+// ConfigurationResponse carries the peer's version; Revision 0 means that it has
+// none.
 type ConfigurationAnswer struct {
 	Revision int64
 	Manifest configstore.Manifest
 	Parts    []configstore.Part
 }
 
-// IndexUpdate brings cache changes and a load report of one engine to a node
-// that keeps part of the index.
+// IndexUpdateRequest sends cache changes and a load report of one engine to a
+// node that holds an index partition.
 type IndexUpdate struct {
 	Reader string
-	// Sequence counts the updates of this reader for this engine and receiver.
+	// Sequence numbers the updates from this reader about this engine to this
+	// receiver.
 	Sequence uint64
 	Update   prefixindex.Update
 	Load     engineapi.Load
 }
 
-// IndexAnswer says whether the receiver missed an update and needs all.
+// IndexUpdateResponse reports whether the receiver missed an update and needs
+// the full state.
 type IndexAnswer struct {
 	NeedAll bool
 }
 
-// LookupRequest asks the home of a chain's first block who holds the chain.
+// LookupRequest asks the index partition of a chain's first block which engines
+// hold the chain.
 type LookupRequest struct {
 	Chain []prefix.Hash
 }
 
-// Holding says how much of a chain an engine holds, and its load as the home
-// knows it.
+// Holding reports how much of a chain an engine holds, and the engine's last
+// load report.
 type Holding struct {
 	prefixindex.Depth
 	Load engineapi.Load
-	// LoadAge is how old the load report is.
+	// LoadAge is the age of the load report.
 	LoadAge time.Duration
 }
 
-// LookupAnswer lists the deepest holders, at most MaximumHoldings.
+// LookupResponse lists the holders of the longest prefixes, at most MaxHoldings.
 type LookupAnswer struct {
 	Holdings []Holding
 }
 
-// MaximumHoldings bounds an answer: an engine that holds less than these others
-// is hardly ever chosen for what it holds.
+// MaxHoldings bounds a response. An engine that holds less than the engines
+// listed is rarely chosen for its cache contents.
 const MaximumHoldings = 4
 
-// ClaimRequest asks a holder for a key.
+// ClaimRequest asks a holder to grant a key to an owner.
 type ClaimRequest struct {
 	Roster string
 	Key    claim.Key
 	Owner  string
 }
 
-// ClaimAnswer is the holder's answer.
+// ClaimResponse carries the holder's verdict.
 type ClaimAnswer struct {
 	Answer claim.Answer
 }
 
-// ConcludeRequest tells a holder how a claim ended.
+// ConcludeRequest reports the final status of a claim to a holder.
 type ConcludeRequest struct {
 	Key    claim.Key
 	Owner  string
 	Status claim.Status
 }
 
-// ConcludeAnswer acknowledges it.
+// ConcludeResponse acknowledges a ConcludeRequest.
 type ConcludeAnswer struct{}
 
-// ClaimsRequest asks for all claims of a holder, to recover from.
+// ClaimListRequest asks a holder for all its claims, for recovery.
 type ClaimsRequest struct {
 	Roster string
 }
 
-// ClaimsAnswer lists them.
+// ClaimListResponse lists the holder's claims.
 type ClaimsAnswer struct {
-	// Adopted says that the node has the asker's roster in force, and grants under
-	// no other.
+	// Adopted is set if the node has the requester's roster in force and grants
+	// under no other.
 	Adopted bool
-	// Joined says that it knows what the holders before granted; Complete, that it
-	// knows all claims of the window; KnowsEarlier, all that it granted itself
-	// under the roster before.
+	// Joined is set if the node knows the claims that the holders of the previous
+	// roster granted, Complete if it knows all claims of the window, and
+	// KnowsEarlier if it knows all claims that it granted itself under the previous
+	// roster.
 	Joined       bool
 	Complete     bool
 	KnowsEarlier bool
 	Records      []claim.Record
 }
 
-// TakeRequest asks a tenant's ledger for tokens.
+// TokenRequest asks the node that issues a tenant's rate limit tokens for some.
 type TakeRequest struct {
 	Tenant string
 	Want   int
 }
 
-// TakeAnswer is how many were given.
+// TokenResponse carries the number of tokens issued.
 type TakeAnswer struct {
 	Tokens int
-	// Unknown says that the node does not know the tenant's limit yet: none given does not mean
-	// that it is used up.
+	// Unknown is set if the node does not know the tenant's limit yet, so that zero
+	// tokens does not mean that the limit is exhausted.
 	Unknown bool
 }
 
-// Names of messages are short, since they travel with each one.
+// init registers the message types. The names are short because gob sends one
+// with each message.
 func init() {
 	for name, message := range map[string]any{
 		"sync?": SyncRequest{}, "sync": SyncAnswer{},
