--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,13 +1,14 @@
-// Package boottime tells a time that goes on while the machine is suspended.
+// Package boottime provides a monotonic time that advances while the machine is
+// suspended.
 //
-// The steady clock by which Go compares times stands still meanwhile: to a process that
-// wakes, a lease, an age or a caller's deadline would be what it was before. The time of
-// day goes on, but jumps when it is set. So a time of this package is one of package time
-// whose steady reading is ahead by what the machine has been suspended since the start.
+// Go's monotonic clock stops during suspension, so that after a resume leases, ages
+// and deadlines would appear unchanged. The wall clock advances, but jumps when it is
+// set. A time of this package is a time.Time whose monotonic reading is advanced by
+// the time that the machine has been suspended since the process started.
 //
-// Such times are compared with each other: Since and Until take the place of those of
-// package time, and a context is bounded by a length of time, not by a time. What the
-// runtime itself waits for, a timer or a socket's deadline, keeps package time.
+// Compare such times only with each other: use Since and Until of this package, and
+// bound contexts by a duration rather than a time. Timers and socket deadlines, which
+// the runtime waits for, use package time.
 package boottime
 
 import (
@@ -18,48 +19,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// tolerance is how far the time of day may run ahead of the steady clock until it is asked
-// whether the machine was suspended. Setting the time of day by slewing moves it by 0.5 ms
-// a second, so that the kernel is asked every other second at most, and not at each look.
+// tolerance is the drift between wall clock and monotonic clock above which the boot
+// clock is read to detect a suspension. Slewing moves the wall clock by 0.5 ms per
+// second, so that the system call is made at most every two seconds rather than on
+// each call of Now.
 const tolerance = time.Millisecond
 
-// Readings are the clocks of a machine.
+// Source provides the clocks of a machine.
 type Readings struct {
-	// Now is the present time with its steady reading.
+	// Now returns the current time with its monotonic reading.
 	Now func() time.Time
-	// Lead is how much further the time of day has gone on than the steady clock, between
-	// two times of Now.
+	// WallLead returns by how much the wall clock advanced more than the monotonic
+	// clock between two results of Now.
 	Lead func(since, now time.Time) time.Duration
-	// Boot is the time since the machine's start, suspensions included. It is not asked at
-	// each look since that takes a system call.
+	// Boot returns the time since the machine booted, including suspensions. It takes a
+	// system call, so it is not called for each reading of the time.
 	Boot func() (time.Duration, error)
 }
 
-// System returns the readings of this machine.
+// SystemSource returns the clocks of this machine.
 func System() Readings { return Readings{Now: time.Now, Lead: lead, Boot: bootReading} }
 
 func lead(since, now time.Time) time.Duration {
 	return now.Round(0).Sub(since.Round(0)) - now.Sub(since)
 }
 
-// Clock counts the time of suspensions. It is safe for concurrent use.
+// Clock is a monotonic clock that includes the time of suspensions. It is safe for
+// concurrent use.
 type Clock struct {
 	readings Readings
-	// counts says that suspensions can be told from changes of the time of day.
+	// bootAvailable is set if the boot clock can be read. Without it, suspensions
+	// cannot be distinguished from changes of the wall clock.
 	counts bool
 
 	start     time.Time
 	startBoot time.Duration
 
 	mutex sync.Mutex
-	// lead is how far the time of day was ahead of the steady clock at the last look, in
-	// nanoseconds since the start, and suspended for how long the machine has been.
+	// wallLead is the WallLead since start when the boot clock was last read, and
+	// suspended the total time of suspensions since start, both in nanoseconds.
 	lead      atomic.Int64
 	suspended atomic.Int64
 }
 
-// New returns a clock that starts now. If the time since the machine's start cannot be
-// read, suspensions are not counted.
+// New returns a clock that starts now. If the boot clock cannot be read, suspensions
+// are not counted.
 func New(readings Readings) *Clock {
 	c := &Clock{readings: readings, start: readings.Now()}
 	started, err := readings.Boot()
@@ -67,7 +71,7 @@
 	return c
 }
 
-// Now returns the present time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
 	now := c.readings.Now()
 	if c.counts {
@@ -79,7 +83,7 @@
 	return now.Add(c.Suspended())
 }
 
-// look asks the kernel for how long the machine has been suspended.
+// updateSuspended reads the boot clock and updates the total time of suspensions.
 func (c *Clock) look(lead time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -94,10 +98,11 @@
 	}
 }
 
-// Suspended returns for how long the machine is known to have been suspended.
+// Suspended returns the total time that the machine is known to have been suspended
+// since the clock started.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// bootReading reads CLOCK_BOOTTIME.
+// readBootClock reads CLOCK_BOOTTIME.
 func bootReading() (time.Duration, error) {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
@@ -111,23 +116,24 @@
 
 func init() { system.Store(New(System())) }
 
-// Use lets another clock be this process's, and returns what undoes that. It is for tests
-// and emulators that suspend a machine.
+// ReplaceClock replaces the clock of this process and returns a function that restores
+// the previous one. It is for tests and emulators that suspend a machine.
 func Use(c *Clock) (restore func()) {
 	before := system.Swap(c)
 	return func() { system.Store(before) }
 }
 
-// Now returns the present time, ahead by all suspensions.
+// Now returns the current time, including the time of suspensions.
 func Now() time.Time { return system.Load().Now() }
 
-// Since returns the time since a time of this package.
+// Since returns the time elapsed since t, a time of this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until a time of this package.
+// Until returns the duration until t, a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns for how long the machine was suspended since the process's start.
+// Suspended returns the total time that the machine was suspended since the process
+// started.
 func Suspended() time.Duration {
 	clock := system.Load()
 	clock.Now()
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -11,12 +11,13 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// machine is a machine whose time is told by its steady clock, which stands still in a
-// suspension, by the time of day, which can be set, and by the time since its start.
+// fakeMachine simulates the clocks of a machine: the monotonic clock, which stops during
+// a suspension, the wall clock, which can be set, and the boot clock.
 type machine struct {
 	begun  time.Time
 	steady time.Duration
-	// set is by how much the time of day was set, and slept how long it was suspended.
+	// wallAdjustment is the sum of the changes to the wall clock, and suspended the total
+	// time of suspensions.
 	set   time.Duration
 	slept time.Duration
 }
@@ -29,8 +30,9 @@
 	}
 }
 
-// Whatever happens to the time of day, times differ by what has passed, suspensions
-// included, but for less than the tolerance for each of them.
+// TestNowCountsSuspensionsAndIgnoresWallClockSteps checks that times differ by the
+// elapsed time, including suspensions, whatever happens to the wall clock. The error
+// may be up to one tolerance per step.
 func TestTimeGoesOnInSuspensionsAndDoesNotJump(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		m := &machine{begun: time.Now()}
