--- a/internal/difference/difference.go
+++ b/internal/difference/difference.go
@@ -1,5 +1,5 @@
-// Package difference shows what one declaration changes in another, by the
-// names of things rather than by their place in the file.
+// Package difference compares two declarations. It identifies list items by name
+// rather than by position.
 package difference
 
 import (
@@ -12,16 +12,17 @@
 	"github.com/cloverrail/cloverrail/internal/configuration"
 )
 
-// Line is one difference.
+// Difference is one value that differs between two declarations.
 type Line struct {
-	// Path names the value, such as tenants[studio-a].limits.burst.
+	// Path identifies the value, such as tenants[studio-a].limits.burst.
 	Path string `json:"path"`
-	// Before and After are JSON; empty means that the value is not there.
+	// Before and After are JSON; empty means that the value is absent.
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// String renders the difference with + for new, - for gone and ~ for changed.
+// String formats the difference with + for added, - for removed and ~ for
+// changed values.
 func (line Line) String() string {
 	switch {
 	case line.Before == "":
@@ -33,7 +34,7 @@
 	}
 }
 
-// Between lists the differences by path. Before may be nil.
+// Compare returns the differences in order of path. Before may be nil.
 func Between(before, after *configuration.Declaration) ([]Line, error) {
 	old, err := flatten(before)
 	if err != nil {
@@ -97,8 +98,9 @@
 	}
 }
 
-// label names a list's item by its name where it has one, and a plain text by
-// itself, so that order does not show as a difference.
+// itemLabel identifies a list item by its name, by its method and path, or by its
+// value if it is a string, so that a change of order is not a difference. Other
+// items are identified by index.
 func label(index int, item any) string {
 	switch item := item.(type) {
 	case map[string]any:
