--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure defines the typed errors that callers, operators and other
-// packages can test. Each message names the remedy.
+// Package failure defines typed errors that callers, operators and other packages
+// can inspect. Each message includes a remedy.
 package failure
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// Kind names one sort of failure. It is shown to callers and counted.
+// Kind classifies a failure. It is reported to callers and used as a metric
+// label.
 type Kind string
 
 // The kinds of failure.
@@ -37,26 +38,26 @@
 	KindHeldOff          Kind = "held_off"
 )
 
-// Outcome says whether the back end ran the request.
+// Outcome states whether the back end ran the request.
 type Outcome string
 
-// The outcomes. NotRun is a promise: no byte of an attempt left this system,
-// or the back end itself said that it did not start.
+// The outcomes. NotRun is a guarantee: either no byte of any attempt left this
+// system, or the back end itself reported that it did not start the request.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
 	Unknown Outcome = "unknown"
 )
 
-// Failure is the one error type that crosses package borders.
+// Failure is the error type that packages return to each other.
 type Failure struct {
 	Kind    Kind
 	Outcome Outcome
-	// Problem says what happened.
+	// Problem describes what happened.
 	Problem string
-	// Remedy says what the reader can do about it.
+	// Remedy describes what the reader can do about it.
 	Remedy string
-	// RetryAfter is when to come back; zero means that coming back with the
+	// RetryAfter is the time to wait before a retry; zero means that retrying the
 	// same request does not help.
 	RetryAfter time.Duration
 }
@@ -66,25 +67,25 @@
 	return fmt.Sprintf("%s; %s", failure.Problem, failure.Remedy)
 }
 
-// New returns a failure whose request was not run.
+// New returns a failure with the outcome NotRun.
 func New(kind Kind, problem, remedy string) *Failure {
 	return &Failure{Kind: kind, Outcome: NotRun, Problem: problem, Remedy: remedy}
 }
 
-// WithOutcome returns a copy that states another outcome.
+// WithOutcome returns a copy with the given outcome.
 func (failure Failure) WithOutcome(outcome Outcome) *Failure {
 	failure.Outcome = outcome
 	return &failure
 }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy with the given retry delay.
 func (failure Failure) WithRetryAfter(wait time.Duration) *Failure {
 	failure.RetryAfter = wait
 	return &failure
 }
 
-// As finds the Failure inside err, or wraps err as an unavailable service of
-// unknown outcome, the only safe reading of an error nobody typed.
+// As returns the Failure in err's chain. It converts any other error to one of
+// kind unavailable and unknown outcome, since nothing safer can be assumed.
 func As(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -93,7 +94,7 @@
 	return &Failure{Kind: KindUnavailable, Outcome: Unknown, Problem: err.Error(), Remedy: "see the node's log"}
 }
 
-// Is reports whether err is a Failure of the kind.
+// Is reports whether err's chain contains a Failure of the kind.
 func Is(err error, kind Kind) bool {
 	var failure *Failure
 	return errors.As(err, &failure) && failure.Kind == kind
