--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a length of time, or until the context ends.
+// For waits for the duration or until the context ends.
 func For(ctx context.Context, length time.Duration) {
 	if length <= 0 {
 		return
