--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,7 @@
-// Package prefix names the blocks of a prompt. A block's hash covers the whole
-// prompt up to its end and the identity that the cache belongs to, so two
-// tenants, or two versions of one model, never share a hash.
+// Package prefix computes hashes that identify the blocks of a prompt. A block's
+// hash covers the prompt up to the end of the block and the identity that the
+// cache belongs to, so two tenants, or two versions of one model, never share a
+// hash.
 package prefix
 
 import (
@@ -12,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash names one block and, through its chain, all blocks before it.
+// Hash identifies one block and, as the hashes are chained, all blocks before it.
 type Hash uint64
 
-// Identity is what cached blocks belong to.
+// Identity is the scope within which cached blocks may be shared.
 type Identity struct {
 	Tenant  string
 	Model   string
@@ -23,21 +24,21 @@
 	Adapter string
 }
 
-// Salt returns the secret that engines mix into the identity of cached blocks.
-// It is derived from the fleet's key, so that every node computes the same salt
-// and no tenant can guess another's.
+// Salt returns the secret that engines mix into the hashes of cached blocks. It
+// is derived from the fleet's key, so that every node computes the same salt and
+// no tenant can guess another's.
 func Salt(fleetKey []byte, identity Identity) string {
 	mac := hmac.New(sha256.New, fleetKey)
 	for _, field := range []string{identity.Tenant, identity.Model, identity.Version, identity.Adapter} {
-		// Lengths keep the fields apart: ("ab","c") is not ("a","bc").
+		// Length prefixes separate the fields: ("ab","c") differs from ("a","bc").
 		_ = binary.Write(mac, binary.BigEndian, uint32(len(field)))
 		mac.Write([]byte(field))
 	}
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Chain hashes the whole blocks of a prompt, first block first. A last part
-// that does not fill a block has no hash, since engines cache whole blocks.
+// Chain returns the hashes of the complete blocks of a prompt, in order. A
+// trailing partial block has no hash, since engines cache only complete blocks.
 func Chain(salt string, prompt []byte, blockBytes int) []Hash {
 	chain := make([]Hash, 0, len(prompt)/blockBytes)
 	previous := xxhash.Sum64String(salt)
@@ -54,8 +55,8 @@
 	return chain
 }
 
-// Next returns the hash of a block that follows previous, for models of a
-// workload that know blocks by number rather than by text.
+// Next returns the hash of the block that follows previous, for workload models
+// that identify blocks by number rather than by text.
 func Next(previous Hash, content uint64) Hash {
 	var data [16]byte
 	binary.LittleEndian.PutUint64(data[:8], uint64(previous))
--- a/internal/prefix/rendezvous.go
+++ b/internal/prefix/rendezvous.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight is the rendezvous (highest random weight) score of a candidate for a
-// key. Everyone who knows the same candidates ranks them alike, and a candidate
-// that goes away moves only its own keys.
+// Weight returns the rendezvous (highest random weight) score of a candidate for
+// a key. All nodes with the same candidates rank them identically, and removing a
+// candidate moves only its own keys.
 func Weight(key Hash, candidate string) uint64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], uint64(key))
@@ -31,7 +31,7 @@
 	return owner
 }
 
-// KeyOf hashes a name into the space of keys.
+// HashName hashes a name to a key.
 func KeyOf(name string) Hash {
 	return Hash(xxhash.Sum64String(name))
 }
