--- a/internal/property/property.go
+++ b/internal/property/property.go
@@ -1,5 +1,5 @@
-// Package property runs property-based tests with a fixed seed, so that every
-// run has the same verdict. It is for tests alone.
+// Package property runs property-based tests with a fixed seed, so that every run
+// has the same result. It is for tests only.
 package property
 
 import (
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Seed of all properties. Another one is tried with the flag of
-// package rapid: go test ./internal/claim -rapid.seed=7.
+// Seed is the default seed of all property tests. To use another one, set the
+// flag of package rapid: go test ./internal/claim -rapid.seed=7.
 const Seed = 20261202
 
 var fix = sync.OnceFunc(func() {
@@ -22,7 +22,8 @@
 	}
 })
 
-// CheckMany is Check with a number of cases, for faults that few of them show.
+// CheckMany runs Check with at least the given number of cases, for failures that
+// occur in few of them.
 func CheckMany(t *testing.T, cases int, check func(*rapid.T)) {
 	t.Helper()
 	checks := flag.Lookup("rapid.checks")
@@ -34,7 +35,7 @@
 	Check(t, check)
 }
 
-// Check runs the property on a fixed sequence of cases.
+// Check checks the property on the sequence of cases that the seed determines.
 func Check(t *testing.T, check func(*rapid.T)) {
 	t.Helper()
 	fix()
