--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
-// Package examples holds the example declarations.
+// Package examples embeds the example declarations.
 package examples
 
 import "embed"
 
-// Files are the declarations of this folder.
+// Files holds the declarations in this directory.
 //
 //go:embed *.yaml
 var Files embed.FS
