--- a/internal/claim/check.go
+++ b/internal/claim/check.go
@@ -6,20 +6,20 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Check refuses keys whose minting time shows that holders cannot know about
-// them: from the future, so that a clock is wrong, or older than the window.
+// CheckAge rejects a time-ordered key that holders cannot decide on: one from the
+// future, which shows that a clock is wrong, or one older than the claim window.
 func Check(config Config, now time.Time, key Key) *failure.Failure {
 	minted, ordered := key.MintedAt()
 	if !ordered {
 		return nil
 	}
 	if minted.After(now.Add(config.ClockSkew)) {
-		return failure.New(failure.KindInvalidRequest, "the idempotency key was minted in the future",
-			"set the caller's clock, or declare a larger claims.clockSkew")
+		return failure.New(failure.KindInvalidRequest, "the idempotency key was created in the future",
+			"correct the caller's clock, or declare a larger claims.clockSkew")
 	}
 	if now.Sub(minted) > config.Window-config.ClockSkew {
-		return failure.New(failure.KindDuplicate, "the idempotency key is older than the claim window; an earlier send of it may have run",
-			"look at the outcome of the first send; mint a new key only if it did not run").WithOutcome(failure.Unknown)
+		return failure.New(failure.KindDuplicate, "the idempotency key is older than the claim window; an earlier request with it may have run",
+			"check the outcome of the first request; create a new key only if it did not run").WithOutcome(failure.Unknown)
 	}
 	return nil
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim makes a request run at most once: before it is dispatched, its
-// idempotency key is claimed at a majority of the key's holders.
+// Package claim ensures that a request runs at most once: before it is
+// dispatched, its idempotency key is claimed at a majority of the key's holders.
 //
 // Holder and Round are pure state machines. docs/decisions/claims.md gives the
-// argument for their safety and what it rests on.
+// safety argument and its assumptions.
 package claim
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Key names a request of one tenant.
+// Key identifies a request of one tenant.
 type Key struct {
 	Tenant string
 	// Value is the caller's idempotency key.
 	Value string
 }
 
-// MintedAt returns the time inside a time-ordered key (UUID version 7).
+// CreatedAt returns the creation time of a time-ordered key (UUID version 7).
 func (key Key) MintedAt() (time.Time, bool) {
 	parsed, err := uuid.Parse(key.Value)
 	if err != nil || parsed.Version() != 7 {
@@ -32,14 +32,14 @@
 	return time.Unix(seconds, nanoseconds), true
 }
 
-// Status is how far a claimed request is known to be.
+// Status is the known progress of a claimed request.
 type Status uint8
 
 // The statuses of a claim.
 const (
 	// Claimed means that an owner may be running the request.
 	Claimed Status = iota
-	// Completed means that the owner saw the request run.
+	// Completed means that the owner knows that the request ran.
 	Completed
 	// Released means that the owner never sent it and never will.
 	Released
@@ -53,46 +53,47 @@
 	At     time.Time
 }
 
-// Verdict is a holder's answer.
+// Verdict is a holder's decision on a claim.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Granted means that the holder keeps the claim for the owner.
+	// Granted means that the holder recorded the claim for the owner.
 	Granted Verdict = iota + 1
-	// Taken means that another owner has it.
+	// Taken means that another owner has the key.
 	Taken
 	// Abstained means that the holder may have forgotten an earlier claim.
 	Abstained
 )
 
-// Answer is a holder's answer with the status of the claim that stands.
+// Response is a holder's verdict with the status of the recorded claim.
 type Answer struct {
 	Verdict Verdict
 	Status  Status
 }
 
-// Config sets the times that the guarantee rests on.
+// Config holds the times that the at-most-once guarantee depends on.
 type Config struct {
-	// Window is how long claims are remembered.
+	// Window is the retention time of claims.
 	Window time.Duration
 	// ClockSkew bounds the difference between any two clocks.
 	ClockSkew time.Duration
-	// RoundLimit is how long after its start a round may still succeed.
+	// RoundTimeout is the time from its start within which a round may succeed.
 	RoundLimit time.Duration
 }
 
-// DefaultRoundLimit is far above a round trip between zones.
+// DefaultRoundTimeout is well above the round-trip time between zones.
 const DefaultRoundLimit = 500 * time.Millisecond
 
-// HoldersPerKey is how many nodes hold each key; a majority of them decides.
+// HoldersPerKey is the number of nodes that hold each key; a majority of them
+// decides.
 const HoldersPerKey = 3
 
-// Majority of a key's holders.
+// Majority returns the number of holders that form a majority.
 func Majority(holders int) int { return holders/2 + 1 }
 
-// HoldersOf picks a key's holders from the roster, by rendezvous. Everyone who
-// has the same roster picks the same ones.
+// HoldersOf selects a key's holders from the roster, the declared set of holders,
+// by rendezvous hashing. All nodes with the same roster select the same holders.
 func HoldersOf(key Key, roster []string) []string {
 	hash := prefix.KeyOf(key.Tenant + "\x00" + key.Value)
 	ranked := append([]string(nil), roster...)
@@ -102,8 +103,8 @@
 	return ranked[:min(HoldersPerKey, len(ranked))]
 }
 
-// RosterName identifies a roster, so that two nodes with different rosters
-// never decide together.
+// RosterID identifies a roster, so that nodes with different rosters never count
+// toward the same majority.
 func RosterName(roster []string) string {
 	sorted := append([]string(nil), roster...)
 	sort.Strings(sorted)
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -14,7 +14,7 @@
 
 var testConfig = Config{Window: 10 * time.Second, ClockSkew: 200 * time.Millisecond, RoundLimit: 500 * time.Millisecond}
 
-// keyMintedAt builds a time-ordered key.
+// newTimeOrderedKey returns a UUID version 7 created at the given time.
 func keyMintedAt(at time.Time, salt uint64) string {
 	var id uuid.UUID
 	milliseconds := uint64(at.UnixMilli())
@@ -26,7 +26,7 @@
 	return id.String()
 }
 
-// holderNode is a process with a clock of its own.
+// holderNode is a process that runs a holder and has its own clock.
 type holderNode struct {
 	holder *Holder
 	skew   time.Duration
@@ -34,7 +34,7 @@
 	cut    bool
 }
 
-// flight is a claim or its answer under way.
+// pendingMessage is a claim or a response in transit.
 type flight struct {
 	due     time.Time
 	attempt *attempt
@@ -50,7 +50,7 @@
 	over  bool
 }
 
-// fleet plays holders, coordinators and the network in virtual time.
+// simulation simulates holders, coordinators and the network in virtual time.
 type fleet struct {
 	t        *rapid.T
 	now      time.Time
@@ -59,7 +59,7 @@
 	attempts []*attempt
 	// runs counts dispatches of each key.
 	runs map[Key]int
-	// born is when each key was first sent.
+	// firstSentAt is when each opaque key was first sent.
 	born map[Key]time.Time
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// advance moves time on and delivers what is due.
+// advance moves time forward and delivers the messages that are due.
 func (fleet *fleet) advance(step time.Duration) {
 	fleet.now = fleet.now.Add(step)
 	pending := fleet.flights
@@ -148,9 +148,9 @@
 	fleet.holders[index].holder.Recover(fleet.now.Add(fleet.holders[index].skew), records)
 }
 
-// TestAtMostOnce sends duplicates of time-ordered and opaque keys to different
-// coordinators at once and late, while holders restart one by one and as a
-// herd, are cut off, and have clocks within the stated bound.
+// TestAtMostOnce sends duplicates of time-ordered and opaque keys through
+// different coordinators, concurrently and late, while holders restart one by one
+// or all at once, are partitioned, and have clocks that differ within the bound.
 func TestAtMostOnce(t *testing.T) {
 	property.CheckMany(t, 5_000, func(t *rapid.T) {
 		fleet := &fleet{t: t, now: time.UnixMilli(1_800_000_000_000), runs: map[Key]int{}, born: map[Key]time.Time{}}
@@ -177,7 +177,8 @@
 					continue
 				}
 				key := rapid.SampledFrom(keys).Draw(t, "key")
-				// An opaque key is guarded for the window; a time-ordered one for ever.
+				// An opaque key is protected for the window, a time-ordered one
+				// indefinitely.
 				if born, opaque := fleet.born[key]; !opaque || fleet.now.Sub(born) < testConfig.Window-3*time.Second {
 					fleet.send(key)
 				}
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Holder keeps claims in memory. A process that starts has forgotten what an
-// earlier one granted under its address; until it has recovered it abstains
-// from every key that the earlier one could have granted.
+// Holder keeps claims in memory. A new process does not know what an earlier one
+// granted at its address; until it has recovered, it abstains from every key that
+// the earlier one could have granted.
 type Holder struct {
 	config    Config
 	started   time.Time
 	recovered bool
-	// joined is false while the roster has changed and the holders before have not
-	// yet told what they granted. Nothing is granted then, whatever the key.
+	// joined is false from a roster change until the previous holders have reported
+	// what they granted. Until then the holder grants no key.
 	joined bool
-	// witnessed says that this process was there when the roster changed, so it
-	// knows all that it granted under the new one.
+	// observedRosterChange is set if this process was running when the roster
+	// changed, so that it knows everything that it granted under the new one.
 	witnessed bool
 	records   map[Key]Record
-	// released remembers owners that gave up, so that a claim of theirs which
-	// arrives late is not kept for nobody.
+	// released holds owners that gave up their claims, so that a claim from one of
+	// them that arrives late is not recorded.
 	released map[string]time.Time
 	ages     []Record
 }
 
-// NewHolder returns the holder of a process that started at the given time.
+// NewHolder returns a holder for a process that started at the given time.
 func NewHolder(config Config, started time.Time) *Holder {
 	return &Holder{config: config, started: started, joined: true, records: map[Key]Record{}, released: map[string]time.Time{}}
 }
 
-// Claim asks for a key on behalf of an owner. Asking again is harmless.
+// Claim requests a key on behalf of an owner. It is idempotent.
 func (holder *Holder) Claim(now time.Time, key Key, owner string) Answer {
 	holder.expire(now)
 	if known, found := holder.records[key]; found && known.Status != Released {
@@ -46,7 +46,8 @@
 	return Answer{Verdict: Granted}
 }
 
-// remembers reports whether the holder would know of an earlier claim.
+// hasHistoryFor reports whether the holder would know of any earlier claim of the
+// key.
 func (holder *Holder) remembers(now time.Time, key Key) bool {
 	if !holder.joined {
 		return false
@@ -54,13 +55,14 @@
 	if holder.recovered || now.Sub(holder.started) >= holder.config.Window {
 		return true
 	}
-	// A key minted after this process started cannot have been granted by an
-	// earlier process at this address.
+	// An earlier process at this address cannot have granted a key that was created
+	// after this process started.
 	minted, ordered := key.MintedAt()
 	return ordered && minted.After(holder.started.Add(holder.config.ClockSkew))
 }
 
-// Conclude notes how a claim ended. Only its owner concludes it.
+// Conclude records the final status of a claim. It has no effect on a claim of
+// another owner.
 func (holder *Holder) Conclude(now time.Time, key Key, owner string, status Status) {
 	if status == Released {
 		holder.released[owner] = now
@@ -77,19 +79,19 @@
 	holder.records[key] = known
 }
 
-// Complete reports whether the holder knows all claims of the last window, and
-// may therefore help others to recover.
+// Complete reports whether the holder knows all claims of the last window, so
+// that others may recover from it.
 func (holder *Holder) Complete(now time.Time) bool {
 	return holder.joined && holder.KnowsEarlier(now)
 }
 
 // KnowsEarlier reports whether the holder knows all claims that it, or earlier
-// processes at its address, granted under the roster before.
+// processes at its address, granted under the previous roster.
 func (holder *Holder) KnowsEarlier(now time.Time) bool {
 	return holder.recovered || now.Sub(holder.started) >= holder.config.Window
 }
 
-// Records lists the claims held.
+// Records returns the current claims.
 func (holder *Holder) Records(now time.Time) []Record {
 	holder.expire(now)
 	records := make([]Record, 0, len(holder.records))
@@ -99,16 +101,16 @@
 	return records
 }
 
-// RecoveryDue reports whether the holder may start to recover. Rounds that an
-// earlier process took part in are over by then, so whatever they decided is
-// stored at the other holders.
+// RecoveryDue reports whether the holder needs to recover and may start. By then,
+// all rounds in which an earlier process took part have ended, so their outcomes
+// are stored at the other holders.
 func (holder *Holder) RecoveryDue(now time.Time) bool {
 	return !holder.Complete(now) && now.Sub(holder.started) >= 2*holder.config.RoundLimit
 }
 
-// Recover takes the claims of all other holders of the roster. It must be
-// called only when each of them was complete itself: a majority that decided
-// without this process then has a member among them.
+// Recover adds the claims of all other holders of the roster. It must be called
+// only if each of them was complete: any majority that decided without this
+// process then includes one of them.
 func (holder *Holder) Recover(_ time.Time, records []Record) {
 	holder.take(records)
 	holder.recovered = true
@@ -122,24 +124,23 @@
 	}
 }
 
-// ChangeRoster notes that the roster has changed under this process.
+// ChangeRoster records that the roster changed while this process was running.
 func (holder *Holder) ChangeRoster() {
 	holder.joined = false
 	holder.witnessed = true
 }
 
-// AwaitJoin notes that this process started while a change of the roster was
-// under way.
+// AwaitJoin records that this process started during a roster change.
 func (holder *Holder) AwaitJoin() { holder.joined = false }
 
-// Joined reports whether the holder knows what the holders before granted.
+// Joined reports whether the holder knows what the previous holders granted.
 func (holder *Holder) Joined() bool { return holder.joined }
 
-// Join takes the claims of the holders before. It must be called only when all
-// of them but one have adopted the new roster: none of those grants under the old
-// one any more, so no majority of it can form from now on. Complete says that
-// those heard also know all that they granted, so that whatever a majority
-// decided stands with one of them; without it the process counts as new.
+// Join adds the claims of the previous holders. It must be called only after all
+// but one of them have adopted the new roster: these no longer grant under the
+// old one, so no majority of it can form. Complete states that the holders that
+// responded know everything that they granted, so that one of them has the
+// outcome of every majority; otherwise the process is treated as new.
 func (holder *Holder) Join(now time.Time, records []Record, complete bool) {
 	holder.take(records)
 	holder.joined = true
@@ -150,8 +151,9 @@
 	holder.Restart(now)
 }
 
-// Settle ends a change of the roster that most holders have joined. One that has
-// not starts over as a new process: the old roster can decide nothing any more.
+// CompleteRosterChange ends a roster change after most holders have joined. A
+// holder that has not joined continues as a new process, since the old roster can
+// no longer decide anything.
 func (holder *Holder) Settle(now time.Time) {
 	if !holder.joined {
 		holder.joined = true
@@ -159,8 +161,8 @@
 	}
 }
 
-// Restart treats the process as new, as after a pause during which its claims
-// may have expired, or when a change of the roster passed it by.
+// Reset treats the process as new, as after a pause during which its claims may
+// have expired, or after it missed a roster change.
 func (holder *Holder) Restart(now time.Time) {
 	holder.started = now
 	holder.recovered = false
@@ -188,8 +190,8 @@
 	}
 }
 
-// Reconfigure follows a change of the declared times.
+// SetConfig applies a change of the declared times.
 func (holder *Holder) Reconfigure(config Config) { holder.config = config }
 
-// Started is when this process, or its last restart, began.
+// StartedAt returns the start time of this process, or of its last reset.
 func (holder *Holder) Started() time.Time { return holder.started }
--- a/internal/claim/roster_test.go
+++ b/internal/claim/roster_test.go
@@ -11,16 +11,16 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// member is a node while the roster changes from nodes 0, 1, 2 to 1, 2, 3.
+// rosterNode is a node during a roster change from nodes 0, 1, 2 to 1, 2, 3.
 type member struct {
 	holder  *Holder
 	adopted bool
 	cut     bool
 }
 
-// TestAtMostOnceWhileTheRosterChanges lets owners with the old and with the new
-// roster claim the same keys, while members adopt the change one by one, are cut
-// off, and restart.
+// TestAtMostOnceDuringRosterChange lets owners with the old and with the new
+// roster claim the same keys while nodes adopt the change one by one, are
+// partitioned, and restart.
 func TestAtMostOnceWhileTheRosterChanges(t *testing.T) {
 	property.CheckMany(t, 50_000, func(t *rapid.T) {
 		now := time.UnixMilli(1_800_000_000_000)
@@ -100,7 +100,7 @@
 			case "join":
 				join(which)
 			case "restart":
-				// A process that starts has the configuration that it had before.
+				// A restarted process keeps the configuration that it had adopted.
 				members[which].holder = NewHolder(testConfig, now)
 				if members[which].adopted {
 					members[which].holder.AwaitJoin()
--- a/internal/claim/round.go
+++ b/internal/claim/round.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Decision is what a round came to.
+// Decision is the outcome of a round.
 type Decision uint8
 
 // The decisions.
 const (
-	// Undecided rounds wait for more answers.
+	// Undecided means that the round waits for more responses.
 	Undecided Decision = iota
-	// Won means that the owner, and nobody else, may send the request.
+	// Won means that this owner, and no other, may send the request.
 	Won
 	// Duplicate means that another owner has, or had, the key.
 	Duplicate
-	// Unavailable means that too few holders answered or remembered.
+	// Unavailable means that too few holders responded or had the history to decide.
 	Unavailable
 )
 
@@ -27,13 +27,13 @@
 	status   Status
 }
 
-// NewRound returns a round that asks the holders.
+// NewRound returns a round that requests a key from the holders.
 func NewRound(config Config, started time.Time, holders []string) *Round {
 	return &Round{config: config, started: started, holders: holders, answered: map[string]Answer{}}
 }
 
-// Receive takes one holder's answer. Once decided a round stays so: a grant
-// that arrives late must not turn a refusal into a dispatch.
+// Receive processes one holder's response and returns the decision. A decision is
+// final: a late grant must not turn a rejection into a dispatch.
 func (round *Round) Receive(now time.Time, holder string, answer Answer) Decision {
 	if round.decision != Undecided {
 		return round.decision
@@ -47,12 +47,12 @@
 	return round.decision
 }
 
-// Lost notes that a holder gave no answer.
+// NoResponse records that a holder did not respond.
 func (round *Round) Lost(now time.Time, holder string) Decision {
 	return round.Receive(now, holder, Answer{Verdict: Abstained})
 }
 
-// Status is the status of the claim that a Duplicate ran into.
+// Status returns the status of the existing claim after a Duplicate decision.
 func (round *Round) Status() Status { return round.status }
 
 func (round *Round) decide() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// String names the decision for counters.
+// String returns the decision's name, which is used as a metric label.
 func (decision Decision) String() string {
 	return [...]string{"undecided", "won", "duplicate", "unavailable"}[decision]
 }
