--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkMembership reports what the membership of one node costs in a second
-// of steady state: processor time, bytes sent, and memory.
+// BenchmarkSteadyState reports the cost per node and second in a stable fleet:
+// processor time, bytes transferred, and memory.
 func BenchmarkMembership(b *testing.B) {
 	for _, nodes := range []int{10, 100, 340} {
 		b.Run(fmt.Sprint(nodes, "nodes"), func(b *testing.B) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkSpread reports how long a revision takes to reach the last node, in
-// virtual time, and how many bytes that cost each node.
+// BenchmarkRevisionPropagation reports the virtual time that a revision takes to
+// reach the last node.
 func BenchmarkSpread(b *testing.B) {
 	for _, nodes := range []int{10, 100, 340} {
 		b.Run(fmt.Sprint(nodes, "nodes"), func(b *testing.B) {
@@ -55,7 +55,7 @@
 				network.Run(3 * time.Second)
 				for _, node := range network.Nodes {
 					if node.Revision < revision {
-						b.Fatalf("a node is still at revision %d", node.Revision)
+						b.Fatalf("a node is still at revision %d after 3 s", node.Revision)
 					}
 					slowest = max(slowest, node.AdoptedAt.Sub(begin))
 				}
--- a/internal/membership/news.go
+++ b/internal/membership/broadcast.go
@@ -20,7 +20,8 @@
 	machine.news[key] = told
 }
 
-// urgent sends gossip to a few members at once, ahead of the next probe.
+// gossipMessages returns gossip for a few random members, to be sent immediately
+// rather than with the next probe.
 func (machine *Machine) urgent() []Message {
 	messages := []Message{}
 	for _, address := range machine.sample(machine.config.Fanout, "") {
@@ -29,9 +30,9 @@
 	return messages
 }
 
-// message fills a message with the news told least often. The sender's own
-// record is always in it, so that whoever missed a refutation is put right by
-// the next contact.
+// newMessage returns a message with the broadcasts transmitted least often. It
+// always includes the sender's own record, so that a receiver that missed a
+// refutation is corrected by the next message.
 func (machine *Machine) message(kind Kind, to string, sequence uint64) Message {
 	message := Message{Kind: kind, From: machine.self.Address, To: to, Sequence: sequence, Revision: machine.revision}
 	message.Members = append(message.Members, machine.self)
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TickInterval is how often drivers call Tick.
+// TickInterval is the interval at which drivers call Tick.
 const TickInterval = 100 * time.Millisecond
 
 type entry struct {
@@ -15,7 +15,7 @@
 	since  time.Time
 }
 
-// Machine is one node's view.
+// Machine holds one node's view of the members and its protocol state.
 type Machine struct {
 	config   Config
 	random   *rand.Rand
@@ -35,8 +35,9 @@
 	periods  int
 }
 
-// NewMachine returns the machine of a node. The incarnation must be above that
-// of an earlier process at the address; a start time in milliseconds is.
+// NewMachine returns the machine of a node. The incarnation of self must be higher
+// than that of any earlier process at the address, such as a start time in
+// milliseconds.
 func NewMachine(config Config, self Member, seeds []string, random *rand.Rand) *Machine {
 	machine := &Machine{
 		config:  config,
@@ -52,10 +53,10 @@
 	return machine
 }
 
-// Self returns what this node says of itself.
+// Self returns this node's own record.
 func (machine *Machine) Self() Member { return machine.self }
 
-// Members lists this node and all others that are known, by address.
+// Members returns this node and all known members, ordered by address.
 func (machine *Machine) Members() []Member {
 	members := []Member{machine.self}
 	for _, known := range machine.members {
@@ -65,8 +66,8 @@
 	return members
 }
 
-// SetRevision tells the machine the revision of the configuration in force; a
-// higher one is passed on at once.
+// SetRevision sets the revision of the configuration in force. A higher one is
+// gossiped immediately.
 func (machine *Machine) SetRevision(revision int64) Output {
 	if revision <= machine.revision {
 		return Output{}
@@ -75,7 +76,7 @@
 	return Output{Messages: machine.urgent()}
 }
 
-// Offer spreads an item that this node made.
+// BroadcastItem gossips an item that this node created.
 func (machine *Machine) Offer(item Item) Output {
 	if !machine.keepItem(item) {
 		return Output{}
@@ -83,7 +84,7 @@
 	return Output{Messages: machine.urgent()}
 }
 
-// Drain announces that this node wants no new work.
+// Drain announces that this node accepts no new work.
 func (machine *Machine) Drain() Output {
 	machine.self.Draining = true
 	machine.self.Incarnation++
@@ -91,14 +92,14 @@
 	return Output{Messages: machine.urgent()}
 }
 
-// Leave announces the end of this node.
+// Leave announces that this node is shutting down.
 func (machine *Machine) Leave() Output {
 	machine.self.Status = Left
 	machine.announce()
 	return Output{Messages: machine.urgent()}
 }
 
-// Items lists all items held, by key.
+// Items returns all items, ordered by key.
 func (machine *Machine) Items() []Item {
 	items := make([]Item, 0, len(machine.items))
 	for _, item := range machine.items {
@@ -108,7 +109,7 @@
 	return items
 }
 
-// Tick advances time.
+// Tick processes the timers that are due at now.
 func (machine *Machine) Tick(now time.Time) Output {
 	output := Output{}
 	if !machine.lastTick.IsZero() && now.Sub(machine.lastTick) > machine.config.PauseLimit {
@@ -125,8 +126,8 @@
 	return output
 }
 
-// resume handles a pause of this node itself. Its own timers say nothing about
-// others then, and others may have declared it dead.
+// handlePause handles a pause of this process. Its timers then say nothing about
+// other members, and others may have declared it dead.
 func (machine *Machine) resume(now time.Time, output *Output) {
 	machine.probe = nil
 	for _, known := range machine.members {
@@ -161,12 +162,13 @@
 	return time.Duration(float64(machine.config.SuspicionPeriods)*machine.magnitude()) * machine.config.Period
 }
 
-// magnitude is log10 of the size, at least 1: how far news has to travel.
+// logSize returns the base-10 logarithm of the fleet size, at least 1. The number
+// of gossip rounds until an update reaches all members grows with it.
 func (machine *Machine) magnitude() float64 {
 	return math.Max(1, math.Log10(float64(len(machine.members)+1)))
 }
 
-// Receive takes one message.
+// Receive processes one message.
 func (machine *Machine) Receive(now time.Time, message Message) Output {
 	output := Output{}
 	machine.take(now, message.Members, message.Items, &output)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,7 +14,7 @@
 func TestNoFlappingAtTwentyPercentLoss(t *testing.T) {
 	network := newNetwork(Config{Nodes: 60, Seed: 1, Zones: 3, Delay: time.Millisecond, Loss: 0.2})
 	network.Run(3 * time.Minute)
-	require.Zero(t, network.Changes[membership.Dead], "nobody that lives is declared dead")
+	require.Zero(t, network.Changes[membership.Dead], "no live node must be declared dead")
 }
 
 func TestDeathIsLearnedByAll(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// wrongBeliefs counts, over the live nodes, members whose status is not what it
-// should be.
+// countUnexpected returns how many members, summed over the views of the live
+// nodes, do not satisfy expected.
 func (network *Network) wrongBeliefs(right func(member membership.Member) bool) int {
 	wrong := 0
 	for _, node := range network.Nodes {
@@ -82,7 +82,7 @@
 	network.Adopt(1, 1)
 	network.Run(3 * time.Second)
 	for _, node := range network.Nodes {
-		require.True(t, !node.Up || node.Revision == 1, "a change still reaches all that live in 3 s")
+		require.True(t, !node.Up || node.Revision == 1, "a revision must reach all live nodes in 3 s")
 	}
 	network.Run(50 * time.Second)
 	dead := func(member membership.Member) bool {
@@ -112,8 +112,9 @@
 	}
 }
 
-// TestRevisionsSpreadAndNeverGoDown restarts, pauses and parts nodes at random
-// while revisions come in force, and checks every node after every step.
+// TestRevisionsConvergeAndNeverDecrease restarts, pauses and partitions nodes at
+// random while new revisions come into force, and checks every node after every
+// step.
 func TestRevisionsSpreadAndNeverGoDown(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		network := newNetwork(Config{Nodes: 12, Seed: rapid.Uint64().Draw(t, "seed"), Zones: 3, Delay: time.Millisecond, Loss: 0.1})
@@ -140,7 +141,7 @@
 			}
 			network.Run(time.Duration(rapid.IntRange(100, 2000).Draw(t, "milliseconds")) * time.Millisecond)
 			for index, node := range network.Nodes {
-				require.GreaterOrEqual(t, node.Revision, highest[index], "revisions never go down")
+				require.GreaterOrEqual(t, node.Revision, highest[index], "a node's revision must not decrease")
 				highest[index] = node.Revision
 			}
 		}
@@ -150,7 +151,7 @@
 		}
 		network.Run(30 * time.Second)
 		for _, node := range network.Nodes {
-			require.Equal(t, revision, node.Revision, "all converge once a path exists")
+			require.Equal(t, revision, node.Revision, "all nodes must converge once the partition has healed")
 		}
 	})
 }
@@ -186,6 +187,6 @@
 		}
 		rates[nodes] = float64(sent) / float64(nodes) / 30
 	}
-	t.Logf("bytes a second and node sent: %.0f with 10 nodes, %.0f with 340", rates[10], rates[340])
+	t.Logf("bytes sent per node and second: %.0f with 10 nodes, %.0f with 340", rates[10], rates[340])
 	require.Less(t, rates[340], 1.3*rates[10])
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Merge takes a whole view from a peer, as after a join. What it brings is not
-// passed on as news: the peer's fleet knows it, and a joining node that told
-// everyone about everyone would cost a hundred times its steady rate.
+// Merge applies a complete view received from a peer, as after a join. Its
+// contents are not gossiped: the peer's fleet knows them already, and a joining
+// node that gossiped every member would send a hundred times its usual traffic.
 func (machine *Machine) Merge(now time.Time, members []Member, items []Item) Output {
 	output := Output{}
 	before := machine.news
@@ -23,8 +23,8 @@
 	return output
 }
 
-// Digest is equal for two machines that believe the same of all who live, and
-// hold the same items. Suspicion does not count: it passes.
+// Digest returns a value that is equal for two machines with the same live
+// members and the same items. It ignores suspicion, which is transient.
 func (machine *Machine) Digest() uint64 {
 	digest := uint64(0)
 	for _, member := range machine.Members() {
@@ -38,16 +38,17 @@
 	return digest
 }
 
-// tellSuspect makes sure that a member hears what is said of it, so that it can
-// refute, even when that news is no longer passed around.
+// attachSuspicion adds a member's record to the ack sent to it, unless the member
+// is believed alive. It can then refute the record, even if that is no longer
+// gossiped.
 func (machine *Machine) tellSuspect(address string, answer *Message) {
 	if known, found := machine.members[address]; found && known.member.Status != Alive {
 		answer.Members = append(answer.Members, known.member)
 	}
 }
 
-// take merges statements. A statement that is not newer is ignored: it was
-// either seen before or is overridden.
+// apply merges received members and items into the view. It ignores records that
+// are not newer than the current ones.
 func (machine *Machine) take(now time.Time, members []Member, items []Item, output *Output) {
 	urgent := false
 	for _, member := range members {
@@ -60,8 +61,8 @@
 			continue
 		}
 		if !found && member.Status >= Dead {
-			// A stranger's death changes nothing here, and keeping it would make
-			// the memory of the dead go round for ever.
+			// The death of an unknown member is not recorded: nodes would otherwise
+			// pass records of dead members to each other forever.
 			continue
 		}
 		machine.members[member.Address] = &entry{member: member, since: now}
@@ -86,7 +87,8 @@
 	return statement.Status > known.Status
 }
 
-// defend refutes what others say of this node.
+// refute raises this node's incarnation if the statement contradicts its own
+// record, and reports whether it did.
 func (machine *Machine) defend(statement Member) bool {
 	stale := statement.Incarnation < machine.self.Incarnation ||
 		(statement.Incarnation == machine.self.Incarnation && statement.Status <= machine.self.Status)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,51 +1,50 @@
-// Package membership finds out which nodes live, by SWIM: random probes with
-// indirect probes and suspicion before death, and gossip that rides on them.
+// Package membership implements SWIM failure detection: random probes, indirect
+// probes, suspicion before a member is declared dead, and gossip piggybacked on
+// these messages.
 //
-// Machine is a pure state machine: ticks and messages go in with a time,
-// messages and changes come out. It has no clock, goroutine, socket or log.
+// Machine is a pure state machine: its inputs are ticks and messages with a time,
+// its outputs messages and changes. It has no clock, goroutine, socket or log.
 package membership
 
 import "time"
 
-// Status is what is believed of a member.
+// Status is the believed state of a member.
 type Status uint8
 
-// The statuses, in the order in which they override each other at the same
-// incarnation.
+// The statuses. At the same incarnation, a later one overrides an earlier one.
 const (
 	Alive Status = iota
 	Suspect
 	Dead
-	// Left is a death that the member announced itself.
+	// Left means that the member announced its shutdown.
 	Left
 )
 
-// String names the status as operators see it.
+// String returns the name of the status as shown to operators.
 func (status Status) String() string {
 	return [...]string{"alive", "suspect", "dead", "left"}[status]
 }
 
-// Member is what is known of one node.
+// Member is the record of one node.
 type Member struct {
 	// Address is the member's peer address and its identity.
 	Address string
 	Zone    string
-	// Incarnation orders statements about the member. Only the member itself
-	// raises it.
+	// Incarnation orders records of the member. Only the member itself raises it.
 	Incarnation uint64
 	Status      Status
-	// Draining says that the member finishes its work and wants no new one.
+	// Draining is set while the member finishes its work and accepts no new work.
 	Draining bool
 }
 
-// Item is a piece of state that rides on gossip. The higher version wins.
+// Item is a piece of state distributed by gossip. The higher version wins.
 type Item struct {
 	Key     string
 	Version uint64
 	Data    []byte
 }
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
@@ -56,67 +55,71 @@
 	Ack
 	// PingRequest asks the receiver to ping the target on the sender's behalf.
 	PingRequest
-	// Gossip carries news and wants no answer.
+	// Gossip carries broadcasts and is not answered.
 	Gossip
 )
 
-// Message is what nodes send each other, one datagram each.
+// Message is one datagram between nodes.
 type Message struct {
 	Kind     Kind
 	From     string
 	To       string
 	Sequence uint64
-	// Target is whom a PingRequest is about.
+	// Target is the member that the receiver of a PingRequest should ping.
 	Target string
-	// Revision is the sender's revision of the configuration.
+	// Revision is the configuration revision in force at the sender.
 	Revision int64
 	Members  []Member
 	Items    []Item
 }
 
-// Change is news that the driver acts on.
+// Change is an event that the driver acts on.
 type Change struct {
 	// Member is set when a member's status or draining changed.
 	Member *Member
-	// Item is set when a newer item was learned.
+	// Item is set when a newer item was received.
 	Item *Item
-	// Revision is above 0 when From has a higher revision of the configuration.
+	// Revision is above 0 when From has a higher configuration revision.
 	Revision int64
 	From     string
-	// Resumed is set when this node was paused so long that others may have
-	// declared it dead: it must not act on anything it owned before.
+	// Resumed is set when this node was paused for so long that others may have
+	// declared it dead: it must not act on anything that it owned before.
 	Resumed bool
 }
 
-// Output is what one step produced.
+// Output holds the messages to send and the changes to act on after one step.
 type Output struct {
 	Messages []Message
 	Changes  []Change
 }
 
-// Config sets the pace.
+// Config holds the protocol parameters.
 type Config struct {
-	// Period is the time between probes.
+	// Period is the probe interval.
 	Period time.Duration
-	// AckTimeout is how long a direct probe waits before indirect ones.
+	// AckTimeout is the time without an ack after which indirect probes are sent.
 	AckTimeout time.Duration
-	// Indirect is how many members are asked to probe indirectly.
+	// IndirectProbes is the number of members asked to probe indirectly.
 	Indirect int
-	// SuspicionPeriods times log10 of the size is how long a suspect may refute.
+	// SuspicionFactor times log10 of the fleet size is the number of periods in
+	// which a suspect may refute the suspicion.
 	SuspicionPeriods int
-	// Retransmit times log10 of the size is how often news is passed on.
+	// RetransmitFactor times log10 of the fleet size is the number of times that a
+	// broadcast is transmitted.
 	Retransmit int
-	// ItemsPerMessage bounds each message.
+	// MaxBroadcastsPerMessage bounds the number of broadcasts in one message.
 	ItemsPerMessage int
-	// Fanout is how many members hear urgent news at once.
+	// Fanout is the number of members to which urgent updates are sent immediately.
 	Fanout int
-	// PauseLimit is the gap between ticks that counts as a pause.
+	// PauseThreshold is the gap between ticks above which this node counts as
+	// paused.
 	PauseLimit time.Duration
-	// ForgetAfter is how long the dead are remembered.
+	// DeadRetention is the time that the records of dead members are kept.
 	ForgetAfter time.Duration
 }
 
-// DefaultConfig holds one second's pace, flat in bytes from 10 to 340 nodes.
+// DefaultConfig probes once per second. Its traffic per node does not grow between
+// 10 and 340 nodes.
 var DefaultConfig = Config{
 	Period:           time.Second,
 	AckTimeout:       300 * time.Millisecond,
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -11,26 +11,29 @@
 	"github.com/cloverrail/cloverrail/internal/membership"
 )
 
-// datagramOverhead is what sealing, UDP and IP add to a message, in bytes.
+// datagramOverhead is the size in bytes that encryption (28) and the UDP and IP
+// headers (28) add to a message.
 const datagramOverhead = 28 + 28
 
 const (
-	// syncInterval is how often a node compares its view with another's.
+	// syncInterval is the mean interval at which a node compares its view with
+	// another's.
 	syncInterval = 10 * time.Second
-	// digestBytes is what a request or an answer without a view costs on a call.
+	// digestBytes is the size of a request, or of a response without a view.
 	digestBytes = 120
 )
 
-// Config sets up a network of simulated nodes.
+// Config configures a network of simulated nodes.
 type Config struct {
 	Nodes int
 	Seed  uint64
-	// Zones that the nodes are dealt out to.
+	// Zones is the number of zones that the nodes are distributed over.
 	Zones int
-	// Delay of a message one way, and the share of messages lost.
+	// Delay is the one-way delay of a message, and Loss the fraction of messages
+	// lost.
 	Delay time.Duration
 	Loss  float64
-	// CountBytes encodes every message to measure it, which is slow.
+	// CountBytes encodes every message to measure its size, which is slow.
 	CountBytes bool
 }
 
@@ -39,11 +42,11 @@
 	Address string
 	Zone    string
 	Machine *membership.Machine
-	// Revision of the configuration that the node has in force.
+	// Revision is the configuration revision in force at the node.
 	Revision int64
-	// AdoptedAt is when it came in force.
+	// AdoptedAt is when Revision came into force.
 	AdoptedAt time.Time
-	// Up is false while the node is dead, Paused while it stands still.
+	// Up is false while the node is down; Paused is true while it is suspended.
 	Up     bool
 	Paused bool
 	// Sent and Received count bytes.
@@ -57,11 +60,11 @@
 type delivery struct {
 	message membership.Message
 	bytes   int64
-	// fetch marks an answer to a node that asked for a configuration.
+	// fetch is the revision that a configuration response brings, or 0.
 	fetch int64
 }
 
-// Network is the nodes and what is under way between them.
+// Network holds the nodes and the messages in transit between them.
 type Network struct {
 	Now    time.Time
 	Nodes  []*Node
@@ -69,7 +72,7 @@
 	random *rand.Rand
 	byName map[string]*Node
 	queue  agenda.Agenda[delivery]
-	// Changes counts statuses learned, by status.
+	// Changes counts member changes by status.
 	Changes map[membership.Status]int
 	// Messages counts messages sent.
 	Messages int64
@@ -103,7 +106,7 @@
 	node := &Node{Address: self.Address, Zone: self.Zone, Up: true}
 	node.Machine = membership.NewMachine(membership.DefaultConfig, self, []string{known[0].Address, known[len(known)-1].Address}, random)
 	node.Machine.Merge(network.Now, known, nil)
-	// Nodes do not tick in step.
+	// The first ticks are spread so that nodes do not tick in step.
 	node.nextTick = network.Now.Add(time.Duration(network.random.Int64N(int64(membership.DefaultConfig.Period))))
 	if old, found := network.byName[self.Address]; found {
 		*old = *node
@@ -114,7 +117,7 @@
 	return node
 }
 
-// Restart brings a node back as a new process that knows some other node.
+// Restart replaces a node by a new process that gets its view from another node.
 func (network *Network) Restart(index int) {
 	old := network.Nodes[index]
 	self := membership.Member{Address: old.Address, Zone: old.Zone, Incarnation: uint64(network.Now.UnixMilli())}
@@ -125,14 +128,14 @@
 	network.send(node, node.Machine.SetRevision(revision))
 }
 
-// Split parts the nodes into sides; messages stay within a side.
+// Partition divides the network: messages reach only nodes of the same partition.
 func (network *Network) Split(side func(index int) int) {
 	for index, node := range network.Nodes {
 		node.side = side(index)
 	}
 }
 
-// Adopt puts a revision in force at one node, as its watch would.
+// ApplyRevision puts a revision in force at one node, as its watch would.
 func (network *Network) Adopt(index int, revision int64) {
 	network.adopt(network.Nodes[index], revision)
 }
@@ -145,7 +148,7 @@
 	network.send(node, node.Machine.SetRevision(revision))
 }
 
-// Offer spreads an item from one node.
+// BroadcastItem gossips an item from one node.
 func (network *Network) Offer(index int, item membership.Item) {
 	network.send(network.Nodes[index], network.Nodes[index].Machine.Offer(item))
 }
@@ -166,8 +169,8 @@
 	}
 }
 
-// synchronize compares a node's view with that of another that it believes to
-// live, as real nodes do by a call.
+// synchronize compares a node's view with that of a random member and merges the
+// other view if they differ, as real nodes do with a call.
 func (network *Network) synchronize(node *Node) {
 	if node.nextSync.After(network.Now) {
 		return
@@ -189,7 +192,7 @@
 	network.send(node, node.Machine.Merge(network.Now, answer.Members, answer.Items))
 }
 
-// count notes bytes that a call moves to the one and back to the other.
+// countBytes adds the bytes of a call to the counters of both nodes.
 func (network *Network) count(from, to *Node, there, back int64) {
 	from.Sent += there
 	to.Received += there
@@ -197,7 +200,7 @@
 	from.Received += back
 }
 
-// deliver hands over everything due before the next tick, in order.
+// deliver delivers all messages due before the next tick, in order.
 func (network *Network) deliver() {
 	horizon := network.Now
 	for {
@@ -211,7 +214,7 @@
 			continue
 		}
 		if node.Paused {
-			// The kernel keeps the datagram until the process goes on.
+			// The kernel buffers the datagram until the process resumes.
 			network.queue.Add(horizon.Add(membership.TickInterval), next)
 			continue
 		}
@@ -240,8 +243,8 @@
 	}
 }
 
-// fetch stands for the call that reads a configuration from a peer: a request
-// and an answer, over a connection that does not lose them.
+// fetch simulates the call that reads a configuration from a peer: a request and
+// a response over a reliable connection.
 func (network *Network) fetch(node *Node, change membership.Change) {
 	if peer, found := network.byName[change.From]; !found || peer.side != node.side || !peer.Up || peer.Paused {
 		return
@@ -273,7 +276,8 @@
 	return int64(data.Len() + datagramOverhead)
 }
 
-// Believed counts the nodes whose view of a member has the status.
+// CountWithStatus returns the number of nodes in whose view the member has the
+// status.
 func (network *Network) Believed(address string, status membership.Status) int {
 	count := 0
 	for _, node := range network.Nodes {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// rejoinEvery is how many periods pass between probes of a member believed
-// dead, so that the two sides of a healed partition find each other again.
+// rejoinPeriods is the number of periods between probes of a member believed
+// dead, which let the two sides of a healed partition find each other again.
 const rejoinEvery = 5
 
 type probe struct {
@@ -43,7 +43,7 @@
 	return machine.sequence
 }
 
-// nextTarget goes through all members in a shuffled round, so that each is
+// nextTarget returns the members in rounds of shuffled order, so that each is
 // probed within a bounded time.
 func (machine *Machine) nextTarget() string {
 	for range 2 {
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// reachable lists the members not believed dead, but for one, in a fixed order.
+// reachable returns the members not believed dead, except one, ordered by address.
 func (machine *Machine) reachable(but string) []string {
 	addresses := []string{}
 	for address, known := range machine.members {
@@ -104,7 +104,8 @@
 		message.Target = probe.target
 		output.Messages = append(output.Messages, message)
 	}
-	// A second direct probe costs one message and halves the harm of its loss.
+	// A second direct probe costs one message and halves the effect of losing the
+	// first.
 	output.Messages = append(output.Messages, machine.message(Ping, probe.target, probe.sequence))
 }
 
@@ -124,20 +125,20 @@
 		suspect := known.member
 		suspect.Status = Suspect
 		machine.take(now, []Member{suspect}, nil, output)
-		// The suspect is the one who can refute, so it hears first.
+		// Only the suspect can refute the suspicion, so it is informed first.
 		output.Messages = append(output.Messages, machine.accuse(suspect))
 	}
 }
 
-// accuse pings a suspect with what is said of it.
+// pingSuspect returns a ping that informs a suspect of its suspicion.
 func (machine *Machine) accuse(suspect Member) Message {
 	message := machine.message(Ping, suspect.Address, machine.nextSequence())
 	message.Members = append(message.Members, suspect)
 	return message
 }
 
-// accuseOldest pings the suspect that would be declared dead next. Without it a
-// suspicion whose refutation was lost would ripen into a death at 20 % loss.
+// pingOldestSuspect pings the suspect that would be declared dead next. Otherwise,
+// at 20 % loss, live members whose refutation was lost would be declared dead.
 func (machine *Machine) accuseOldest(output *Output) {
 	var oldest *entry
 	for _, known := range machine.members {
