--- a/internal/prefixindex/anchor.go
+++ b/internal/prefixindex/anchor.go
@@ -3,21 +3,23 @@
 import "github.com/cloverrail/cloverrail/internal/prefix"
 
 const (
-	// firstAnchors blocks of a chain are all anchors.
+	// leadingAnchors is the number of blocks at the start of a chain that are all
+	// anchors.
 	firstAnchors = 4
-	// anchorStride is the distance of the anchors after them.
+	// anchorStride is the distance between the anchors after them.
 	anchorStride = 8
 )
 
-// IsAnchor reports whether the block at a depth, counted from 1, stands for
-// those since the anchor before it. A large fleet indexes anchors alone: all of
-// the first blocks, which short prompts share, and every eighth after them. A
-// depth found through anchors is at most seven blocks too low.
+// IsAnchor reports whether the block at a depth, counted from 1, is an anchor,
+// which represents the blocks since the previous anchor. A large fleet indexes
+// only anchors: all of the first blocks, which short prompts share, and every
+// eighth block after them. A depth determined from anchors is at most seven
+// blocks too low.
 func IsAnchor(depth int) bool {
 	return depth <= firstAnchors || depth%anchorStride == 0
 }
 
-// Anchors picks a chain's anchors.
+// Anchors returns the anchors of a chain.
 func Anchors(chain []prefix.Hash) []prefix.Hash {
 	anchors := make([]prefix.Hash, 0, firstAnchors+len(chain)/anchorStride)
 	for index, hash := range chain {
@@ -28,7 +30,7 @@
 	return anchors
 }
 
-// AnchorDepth is the depth in blocks of the anchor at a place, counted from 1.
+// AnchorDepth returns the depth in blocks of a chain's nth anchor, counted from 1.
 func AnchorDepth(place int) int {
 	if place <= firstAnchors {
 		return place
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -1,5 +1,5 @@
-// Package prefixindex remembers which engine holds which cached blocks. It is a
-// hint: engines check identity, epoch and version themselves.
+// Package prefixindex indexes which engines hold which cached blocks. The index
+// is a hint: engines check identity, epoch and version themselves.
 package prefixindex
 
 import (
@@ -8,30 +8,30 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Holder is one incarnation of an engine. Entries belong to an incarnation, so
-// those of a dead one can never be looked up.
+// Holder identifies one incarnation of an engine. Entries belong to an
+// incarnation, so lookups never return entries of an earlier one.
 type Holder struct {
 	Endpoint string
-	// Epoch is a tag of the incarnation's name, which is longer than it need be to
-	// tell two incarnations of one engine apart.
+	// Epoch is a 32-bit hash of the incarnation's name, which suffices to
+	// distinguish the incarnations of one engine.
 	Epoch uint32
 }
 
-// NewHolder names an incarnation of an engine.
+// NewHolder returns the holder for an incarnation of an engine.
 func NewHolder(endpoint, epoch string) Holder {
 	return Holder{Endpoint: endpoint, Epoch: uint32(xxhash.Sum64String(epoch))}
 }
 
-// Update is a batch of changes from one engine's event reader.
+// Update is a batch of cache changes from one engine's event reader.
 type Update struct {
 	Holder Holder
-	// Clear drops what was known of the holder first, as after a gap.
+	// Clear removes all entries of the holder first, as after a gap.
 	Clear   bool
 	Stored  []prefix.Hash
 	Evicted []prefix.Hash
 }
 
-// Depth says how many leading blocks of a chain a holder has.
+// Depth is the number of leading blocks of a chain that a holder has.
 type Depth struct {
 	Holder Holder
 	Blocks int
@@ -41,7 +41,7 @@
 type Index struct {
 	slots   map[Holder]uint16
 	holders []Holder
-	// current is the slot of each endpoint's newest incarnation.
+	// newestSlot holds the slot of each endpoint's newest incarnation.
 	current map[string]uint16
 	free    []uint16
 	blocks  map[prefix.Hash][]uint16
@@ -54,10 +54,11 @@
 	return &Index{slots: map[Holder]uint16{}, current: map[string]uint16{}, blocks: map[prefix.Hash][]uint16{}}
 }
 
-// Len is the number of distinct blocks.
+// Len returns the number of distinct blocks.
 func (index *Index) Len() int { return len(index.blocks) }
 
-// Apply takes a batch. A batch of a new incarnation retires the old one.
+// Apply applies an update. An update from a new incarnation removes the entries
+// of the old one.
 func (index *Index) Apply(update Update) {
 	slot := index.slot(update.Holder)
 	if update.Clear {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Retire forgets everything of an endpoint.
+// RemoveEndpoint removes all entries of an endpoint.
 func (index *Index) Retire(endpoint string) {
 	slot, found := index.current[endpoint]
 	if !found {
@@ -136,9 +137,9 @@
 	}
 }
 
-// Lookup appends the depth at which each holder has the chain. Engines evict
-// leaves first, so a holder of a block holds all blocks before it; a hole from
-// a lost event ends the depth early, which errs on the safe side.
+// Lookup appends the depth to which each holder has the chain. Engines evict
+// leaves first, so a holder of a block holds all blocks before it. A hole left by
+// a lost event ends the depth early, so that the depth is never too high.
 func (index *Index) Lookup(depths []Depth, chain []prefix.Hash) []Depth {
 	index.touched = index.touched[:0]
 	for position, hash := range chain {
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -23,8 +23,8 @@
 	return chain
 }
 
-// TestIndexAgreesWithTheCaches applies random stores, evictions and crashes to
-// a plain model of the caches and to the index, and compares every lookup.
+// TestLookupMatchesEngineCaches applies random stores, evictions and crashes to a
+// simple model of the caches and to the index, and compares every lookup.
 func TestIndexAgreesWithTheCaches(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		index := New()
@@ -61,7 +61,7 @@
 					require.Equal(t, depths[name][root], found[holder(name)])
 					delete(found, holder(name))
 				}
-				require.Empty(t, found, "no entry of a dead incarnation is found")
+				require.Empty(t, found, "no entry of a dead incarnation must be found")
 			}
 		}
 	})
@@ -97,7 +97,7 @@
 	require.Empty(t, expected.Lookup(now.Add(2500*time.Millisecond), nil, chain))
 }
 
-// BenchmarkIngest applies stores and evictions of one event each way.
+// BenchmarkApply applies updates with a single stored or evicted block.
 func BenchmarkIngest(b *testing.B) {
 	index := New()
 	holder := NewHolder("a", "1")
@@ -118,7 +118,7 @@
 	b.ReportMetric(2*float64(b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkMemory reports the bytes that one indexed block costs.
+// BenchmarkIndexMemoryPerBlock reports the memory that one indexed block uses.
 func BenchmarkMemory(b *testing.B) {
 	const blocks = 112_000
 	for b.Loop() {
--- a/internal/prefixindex/expected.go
+++ b/internal/prefixindex/speculative.go
@@ -7,9 +7,9 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// Expected remembers where a node has sent prompts lately: blocks that an engine
-// will hold before its events say so. Entries last one to two lifetimes. It is
-// safe for concurrent use.
+// SpeculativeIndex records the blocks of prompts that a node recently sent to
+// engines, which will hold them before their cache events report it. Entries
+// expire after one to two lifetimes. It is safe for concurrent use.
 type Expected struct {
 	mutex    sync.Mutex
 	lifetime time.Duration
@@ -18,12 +18,12 @@
 	older    *Index
 }
 
-// NewExpected returns an empty memory.
+// NewSpeculativeIndex returns an empty index.
 func NewExpected(lifetime time.Duration) *Expected {
 	return &Expected{lifetime: lifetime, recent: New(), older: New()}
 }
 
-// Add notes that the holder was sent a prompt.
+// Add records that a prompt was sent to the holder.
 func (expected *Expected) Add(now time.Time, holder Holder, chain []prefix.Hash) {
 	expected.mutex.Lock()
 	defer expected.mutex.Unlock()
@@ -31,7 +31,7 @@
 	expected.recent.Apply(Update{Holder: holder, Stored: chain})
 }
 
-// Lookup appends the depths at which holders are expected to have the chain.
+// Lookup appends the depths to which holders are expected to have the chain.
 func (expected *Expected) Lookup(now time.Time, depths []Depth, chain []prefix.Hash) []Depth {
 	expected.mutex.Lock()
 	defer expected.mutex.Unlock()
