--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maximumMessage bounds one message in bytes.
+	// maxMessageBytes bounds the size of one message.
 	maximumMessage = 16 << 20
 	// DefaultTimeout bounds a call whose context has no deadline.
 	DefaultTimeout = time.Second
@@ -21,17 +21,18 @@
 	idlePerPeer    = 4
 )
 
-// Handler answers one request. Requests and answers are types that were made
-// known to gob.
+// Handler handles one request. The types of requests and responses must be
+// registered with gob.
 type Handler func(ctx context.Context, request any) (any, error)
 
-// envelope is what travels; Problem is set instead of Body when a call failed.
+// envelope is the encoded message. If a call failed, Problem is set instead of
+// Body.
 type envelope struct {
 	Body    any
 	Problem string
 }
 
-// boundedReader fails once a message is longer than allowed.
+// boundedReader limits the size of one message.
 type boundedReader struct {
 	source io.Reader
 	left   int
@@ -39,7 +40,7 @@
 
 func (reader *boundedReader) Read(data []byte) (int, error) {
 	if reader.left <= 0 {
-		return 0, errors.Errorf("message longer than %d bytes", maximumMessage)
+		return 0, errors.Errorf("message exceeds %d bytes", maximumMessage)
 	}
 	count, err := reader.source.Read(data[:min(len(data), reader.left)])
 	reader.left -= count
@@ -66,7 +67,7 @@
 	return message, err
 }
 
-// Caller sends requests to other nodes over kept connections.
+// Client sends requests to other nodes over pooled connections.
 type Caller struct {
 	credentials *Credentials
 	mutex       sync.Mutex
@@ -74,16 +75,18 @@
 	blocked     func(address string) bool
 }
 
-// NewCaller returns a caller. Blocked, which may be nil, lets tests cut links.
+// NewClient returns a client. Tests use blocked, which may be nil, to simulate
+// network partitions.
 func NewCaller(credentials *Credentials, blocked func(address string) bool) *Caller {
 	return &Caller{credentials: credentials, idle: map[string][]*connection{}, blocked: blocked}
 }
 
-// Call sends one request and waits for its answer. An error does not say
-// whether the peer acted: requests must bear repetition.
+// Call sends one request and waits for the response. It may send the request
+// twice, and after an error the peer may have processed it, so requests must be
+// idempotent.
 func (caller *Caller) Call(ctx context.Context, address string, request any) (any, error) {
 	if caller.blocked != nil && caller.blocked(address) {
-		return nil, errors.Errorf("no path to %s", address)
+		return nil, errors.Errorf("no path to %s: address blocked", address)
 	}
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -99,16 +102,16 @@
 		if ctx.Err() != nil {
 			return nil, errors.Trace(ctx.Err())
 		}
-		// A kept connection may have been closed by the peer meanwhile.
+		// The peer may have closed the idle connection, so retry on a new one.
 	}
 	fresh, err := caller.dial(ctx, address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "no connection to %s", address)
+		return nil, errors.Annotatef(err, "cannot connect to %s", address)
 	}
 	answer, err := exchange(ctx, fresh, request)
 	if err != nil {
 		_ = fresh.Close()
-		return nil, errors.Annotatef(err, "no answer from %s", address)
+		return nil, errors.Annotatef(err, "no response from %s", address)
 	}
 	return caller.finish(address, fresh, answer)
 }
@@ -170,7 +173,7 @@
 	caller.idle[address] = append(caller.idle[address], connection)
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve handles calls on a listener until the context ends.
 func Serve(ctx context.Context, listener net.Listener, credentials *Credentials, handler Handler) {
 	secure := tls.NewListener(listener, credentials.config)
 	context.AfterFunc(ctx, func() { _ = secure.Close() })
--- a/internal/peer/credentials.go
+++ b/internal/peer/credentials.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between nodes: gob over TLS for calls, and
-// sealed datagrams for gossip. Nodes prove to each other that they hold the
-// fleet's key.
+// Package peer transports messages between nodes: gob over TLS for calls, and
+// encrypted datagrams for gossip. Nodes authenticate each other by the fleet's
+// key.
 package peer
 
 import (
@@ -24,8 +24,8 @@
 	certificateLife    = 10 * 365 * 24 * time.Hour
 )
 
-// Credentials prove membership of the fleet. In this version they derive from
-// one shared key: every node holds the same signing key, made from it.
+// Credentials prove membership of the fleet. They are derived from one shared
+// key, so all nodes have the same signing key.
 type Credentials struct {
 	signer ed25519.PrivateKey
 	config *tls.Config
@@ -36,7 +36,7 @@
 func NewCredentials(fleetKey []byte) (*Credentials, error) {
 	seed, err := hkdf.Key(sha256.New, fleetKey, nil, certificateContext, ed25519.SeedSize)
 	if err != nil {
-		return nil, errors.Annotate(err, "the fleet key cannot be used; give at least 16 bytes")
+		return nil, errors.Annotate(err, "the fleet key is not usable; use at least 16 bytes")
 	}
 	credentials := &Credentials{signer: ed25519.NewKeyFromSeed(seed)}
 	if err := credentials.makeTLS(); err != nil {
@@ -68,22 +68,23 @@
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{{Certificate: [][]byte{certificate}, PrivateKey: credentials.signer}},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// The name and issuer mean nothing here; VerifyConnection checks the key.
+		// Certificates are self-signed, so name and issuer carry no information;
+		// VerifyConnection checks the public key instead.
 		InsecureSkipVerify: true,
 		VerifyConnection:   credentials.verify,
 	}
 	return nil
 }
 
-// verify accepts exactly the peers that hold the fleet's signing key; TLS has
-// already proved that the peer holds the key of its certificate.
+// verify accepts only peers that hold the fleet's signing key. TLS has already
+// verified that the peer holds the private key of its certificate.
 func (credentials *Credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the peer showed no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	key, ok := state.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok || !key.Equal(credentials.signer.Public()) {
-		return errors.New("the peer does not hold this fleet's key; give all nodes the same fleetKey")
+		return errors.New("the peer does not have this fleet's key; configure the same fleetKey on all nodes")
 	}
 	return nil
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -9,30 +9,31 @@
 	"github.com/juju/errors"
 )
 
-// maximumDatagram is the largest datagram sent or read, in bytes.
+// maxDatagramBytes bounds the size of an encoded message before encryption.
 const maximumDatagram = 60_000
 
-// Datagrams sends and receives sealed messages of one type over UDP.
+// DatagramConn sends and receives encrypted messages of one type over UDP.
 type Datagrams[Message any] struct {
 	socket      *net.UDPConn
 	credentials *Credentials
 	blocked     func(address string) bool
 }
 
-// ListenDatagrams opens the socket. Blocked, which may be nil, lets tests cut links.
+// ListenDatagrams opens a UDP socket. Tests use blocked, which may be nil, to
+// simulate network partitions.
 func ListenDatagrams[Message any](address string, credentials *Credentials, blocked func(string) bool) (*Datagrams[Message], error) {
 	place, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Annotate(err, "write the peer address as IP number and port")
+		return nil, errors.Annotate(err, "write the peer address as IP address and port")
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(place))
 	if err != nil {
-		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
+		return nil, errors.Annotate(err, "cannot listen on the peer address; choose a free port")
 	}
 	return &Datagrams[Message]{socket: socket, credentials: credentials, blocked: blocked}, nil
 }
 
-// Send seals and sends one message. Loss is normal and not reported.
+// Send encrypts and sends one message. Lost datagrams are not reported.
 func (datagrams *Datagrams[Message]) Send(address string, message Message) error {
 	if datagrams.blocked != nil && datagrams.blocked(address) {
 		return nil
@@ -56,13 +57,13 @@
 		return nil, errors.Trace(err)
 	}
 	if plain.Len() > maximumDatagram {
-		return nil, errors.Errorf("message of %d bytes does not fit a datagram", plain.Len())
+		return nil, errors.Errorf("message of %d bytes does not fit into a datagram", plain.Len())
 	}
 	return credentials.seal.Seal(nil, nil, plain.Bytes(), nil), nil
 }
 
-// Receive calls handle with every genuine message until the socket is closed.
-// Datagrams that do not open with the fleet's key are dropped.
+// Receive calls handle for every authentic message until the socket is closed. It
+// drops datagrams that were not encrypted with the fleet's key.
 func (datagrams *Datagrams[Message]) Receive(handle func(Message)) {
 	buffer := make([]byte, 1<<16)
 	for {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -67,7 +67,7 @@
 		sender, err := ListenDatagrams[echo]("127.0.0.1:0", credentials(t, key), nil)
 		require.NoError(t, err)
 		require.NoError(t, sender.Send(address, echo{Text: key}))
-		// The stranger's datagram goes first.
+		// The datagram with the wrong key arrives first.
 		time.Sleep(10 * time.Millisecond)
 		sender.Close()
 	}
@@ -75,7 +75,7 @@
 	require.Empty(t, received)
 }
 
-// BenchmarkCall is one call over a kept connection, both sides.
+// BenchmarkCall measures one call over a pooled connection, including the server.
 func BenchmarkCall(b *testing.B) {
 	address := serve(b, goodKey)
 	caller := NewCaller(credentials(b, goodKey), nil)
