--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -27,8 +27,8 @@
 		return err
 	}
 	sound := len(walk.faults) == 0
-	// Range violations are reported together with structural ones. References are
-	// checked only if the structure is valid.
+	// Violations of validate tags are reported together with structural ones.
+	// References are checked only if the structure is valid.
 	walk.validate(out)
 	if sound {
 		walk.cross(out)
@@ -40,7 +40,7 @@
 }
 
 // DecodePartial decodes a file whose values may still be overridden. It checks
-// keys and types, but not ranges and references.
+// keys and types, but not validate tags and references.
 func DecodePartial(file string, data []byte, out any) error {
 	walk, err := structure(file, data, out)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return walk, nil
 }
 
-// Validate checks the ranges and references of a value that was not read from a
-// YAML file, such as one decoded from JSON.
+// Validate checks the validate tags and references of a value that was not read
+// from a YAML file, such as one decoded from JSON.
 func Validate(name string, value any) error {
 	walk := &walker{file: name, lines: map[string]int{}}
 	walk.validate(value)
@@ -90,6 +90,8 @@
 	return Fault{File: file, Line: line, Field: "(file)", Problem: problem, Remedy: "write valid YAML"}
 }
 
+// walker checks a syntax tree against a Go type and collects diagnostics. Its
+// lines map the path of each value to its line in the file.
 type walker struct {
 	file   string
 	lines  map[string]int
