--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -37,7 +37,8 @@
 	Blocks int
 }
 
-// Index maps blocks to holders. It is not safe for concurrent use.
+// Index maps blocks to holders, which it refers to by slot, their position in
+// holders. It is not safe for concurrent use.
 type Index struct {
 	slots   map[Holder]uint16
 	holders []Holder
@@ -45,6 +46,7 @@
 	current map[string]uint16
 	free    []uint16
 	blocks  map[prefix.Hash][]uint16
+	// depths, by slot, and matchedSlots are scratch space of Lookup.
 	depths  []int
 	touched []uint16
 }
