--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -5,6 +5,7 @@
 	"sort"
 )
 
+// broadcast is a member's record or an item that is still to be gossiped.
 type news struct {
 	member *Member
 	item   *Item
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -10,6 +10,8 @@
 // TickInterval is the interval at which drivers call Tick.
 const TickInterval = 100 * time.Millisecond
 
+// entry is a member's record with the time of its last change. After a pause of
+// this node, changedAt is the end of the pause.
 type entry struct {
 	member Member
 	since  time.Time
@@ -158,6 +160,7 @@
 	}
 }
 
+// suspicionTimeout returns the time that a suspect has to refute its suspicion.
 func (machine *Machine) suspicion() time.Duration {
 	return time.Duration(float64(machine.config.SuspicionPeriods)*machine.magnitude()) * machine.config.Period
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// supersedes reports whether a received record is newer than the current one.
 func newer(statement, known Member) bool {
 	if statement.Incarnation != known.Incarnation {
 		return statement.Incarnation > known.Incarnation
@@ -87,8 +88,8 @@
 	return statement.Status > known.Status
 }
 
-// refute raises this node's incarnation if the statement contradicts its own
-// record, and reports whether it did.
+// refute handles a record of this node received from others. If that contradicts
+// the node's own record, it raises the incarnation and reports true.
 func (machine *Machine) defend(statement Member) bool {
 	stale := statement.Incarnation < machine.self.Incarnation ||
 		(statement.Incarnation == machine.self.Incarnation && statement.Status <= machine.self.Status)
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -44,7 +44,7 @@
 	Machine *membership.Machine
 	// Revision is the configuration revision in force at the node.
 	Revision int64
-	// AdoptedAt is when Revision came into force.
+	// ActivatedAt is when Revision came into force.
 	AdoptedAt time.Time
 	// Up is false while the node is down; Paused is true while it is suspended.
 	Up     bool
@@ -135,7 +135,7 @@
 	}
 }
 
-// ApplyRevision puts a revision in force at one node, as its watch would.
+// ActivateRevision puts a revision in force at one node, as its watch would.
 func (network *Network) Adopt(index int, revision int64) {
 	network.adopt(network.Nodes[index], revision)
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,6 +9,7 @@
 // dead, which let the two sides of a healed partition find each other again.
 const rejoinEvery = 5
 
+// probe is the direct probe of the current period.
 type probe struct {
 	target   string
 	sequence uint64
@@ -16,6 +17,7 @@
 	indirect bool
 }
 
+// relay is an indirect probe that this node makes on behalf of origin.
 type relay struct {
 	origin   string
 	sequence uint64
@@ -74,6 +76,8 @@
 	return addresses
 }
 
+// randomLostAddress returns the address of a random member believed dead or of a
+// seed that is not a known member, or "" if there is none.
 func (machine *Machine) lostAddress() string {
 	lost := []string{}
 	for _, seed := range machine.seeds {
@@ -115,6 +119,7 @@
 	return addresses[:min(count, len(addresses))]
 }
 
+// endProbe marks the target as suspect if it did not answer within the period.
 func (machine *Machine) endProbe(now time.Time, output *Output) {
 	probe := machine.probe
 	machine.probe = nil
