--- a/internal/eventreader/reader.go
+++ b/internal/eventreader/reader.go
@@ -57,7 +57,8 @@
 // Change is the effect of an event batch or snapshot on the engine's cache.
 type Change struct {
 	// Events is the number of events applied.
-	Events  int
+	Events int
+	// Clear is set if all earlier blocks of the engine are gone.
 	Clear   bool
 	Stored  []Placed
 	Evicted []Placed
