--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -13,43 +13,45 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Engines is what the driver needs of the engines.
+// EngineClient defines the engine calls that the driver makes.
 type Engines interface {
 	Open(ctx context.Context, dispatch engineapi.Dispatch) (*engineapi.Answer, error)
 	Resume(ctx context.Context, address, attempt string, after int) (*engineapi.Answer, error)
 	Cancel(address, attempt string)
 }
 
-// Placer chooses engines and is told how attempts went.
+// Placer selects engines and receives the results of attempts.
 type Placer interface {
-	// Place chooses an engine and counts the attempt as in flight on it.
+	// Place selects an engine and counts the attempt as in flight on it.
 	Place(ctx context.Context, excluded []string) (Target, *failure.Failure)
-	// Ended says that the attempt on the endpoint is over. A failed attempt
-	// counts against the endpoint.
+	// ReportResult reports that the attempt on the target has ended. A failed
+	// attempt counts against the endpoint.
 	Ended(target Target, failed bool)
-	// Alive returns a context that ends when the target's incarnation is gone, so
-	// that a stream on an engine that stopped without a word is given up.
+	// IncarnationContext returns a context that is canceled when the target's
+	// incarnation ends, so that streams on an engine that crashed without closing
+	// its connections are aborted.
 	Alive(target Target) context.Context
-	// Stale says that the endpoint is not what the placement thought it was.
+	// ReportStale reports that the endpoint's state differs from the one that the
+	// placement was based on.
 	Stale(target Target)
 }
 
-// Sink is where the answer goes. Emit blocks while the caller reads slowly,
-// which in turn stops reading from the engine: memory does not grow.
+// Sink receives the response. Emit blocks while the caller reads slowly, which
+// in turn stops reads from the engine, so that buffered data stays bounded.
 type Sink interface {
-	// Emit passes one event on. Complete says that the answer's text has ended:
-	// only accounting may follow. ErrUnreadable means that the event cannot be
-	// passed on; any other error, that the caller has left.
+	// Emit forwards one event. Complete reports that the response text has ended
+	// and only usage accounting may follow. ErrMalformedEvent means that the event
+	// cannot be forwarded; any other error, that the caller has disconnected.
 	Emit(data []byte) (complete bool, err error)
 }
 
-// ErrUnreadable says that an engine sent an event that is not one.
-var ErrUnreadable = errors.New("the engine sent an event that cannot be read")
+// ErrMalformedEvent is returned by a sink that cannot parse an engine's event.
+var ErrUnreadable = errors.New("the engine sent a malformed event")
 
-// Body builds the request's body for an attempt that goes on from an offset.
+// BodyFunc builds the request body of an attempt that continues at an offset.
 type Body func(continueAt int) ([]byte, error)
 
-// Call is one request.
+// Call describes one request.
 type Call struct {
 	Path   string
 	Body   Body
@@ -59,28 +61,31 @@
 	Budget Budget
 }
 
-// Rejection is an engine's refusal of the request itself, for the caller to see.
+// Rejection carries an engine's rejection of the request itself, which is
+// forwarded to the caller.
 type Rejection struct {
 	Status int
 	Body   []byte
 }
 
-// Error shows the status.
+// Error implements error.
 func (*Rejection) Error() string { return "the engine rejected the request" }
 
-// Driver performs requests.
+// Driver executes requests: it performs the actions that a Machine returns.
 type Driver struct {
 	engines Engines
-	// Late counts events that arrived for another attempt.
+	// onDropped receives the number of events dropped because they belonged to an
+	// attempt other than the current one.
 	late func(count int)
 }
 
-// NewDriver returns a driver; late is told of events that were dropped.
+// NewDriver returns a driver; onDropped is called with the number of events that
+// were dropped as belonging to another attempt.
 func NewDriver(engines Engines, late func(count int)) *Driver {
 	return &Driver{engines: engines, late: late}
 }
 
-// run is the state of one request's performance.
+// run holds the state of one request's execution.
 type run struct {
 	driver  *Driver
 	call    Call
@@ -91,8 +96,8 @@
 	target  Target
 }
 
-// Run performs a request until its end. The error is a failure.Failure or a
-// Rejection; nil means that the whole answer was emitted.
+// Run executes a request to completion. The error is a failure.Failure or a
+// Rejection; nil means that the whole response was emitted.
 func (driver *Driver) Run(ctx context.Context, call Call) error {
 	run := &run{driver: driver, call: call, machine: NewMachine(call.Limits, call.Budget)}
 	run.queue = run.machine.Start()
@@ -170,7 +175,8 @@
 	run.step(Placed{Attempt: uuid.NewString(), Target: target})
 }
 
-// ended turns the end of the context into its event.
+// checkContext steps the machine with the event for a context that has ended and
+// reports whether it has.
 func (run *run) ended(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
@@ -202,7 +208,8 @@
 	run.consume(ctx, action.Attempt, answer, err)
 }
 
-// attemptContext ends with the request, or earlier with the engine.
+// attemptContext returns a context that ends with the request or with the
+// engine's incarnation, whichever ends first.
 func (run *run) attemptContext(ctx context.Context, target Target) (context.Context, context.CancelFunc) {
 	bounded, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(run.call.Placer.Alive(target), cancel)
@@ -223,13 +230,14 @@
 	var notStarted *engineapi.ErrNotStarted
 	var rejected *engineapi.ErrRejected
 	if errors.As(err, &notStarted) || errors.As(err, &rejected) {
-		// The attempt did start, whatever became of the reopening.
+		// The attempt itself did start, even if the stream could not be reopened.
 		err = errors.New("the stream cannot be resumed")
 	}
 	run.consume(ctx, action.Attempt, answer, err)
 }
 
-// consume turns an answer, or the lack of one, into events.
+// readStream steps the machine with the events of a stream, or with the error
+// that prevented it from opening.
 func (run *run) consume(ctx context.Context, attempt string, answer *engineapi.Answer, err error) {
 	if err != nil {
 		run.failed(ctx, attempt, err)
@@ -269,7 +277,7 @@
 		run.step(Rejected{Attempt: attempt, Status: rejected.Status, Body: rejected.Body})
 	case run.ended(ctx):
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		run.step(Broken{Attempt: attempt, Reason: "the engine closed it early"})
+		run.step(Broken{Attempt: attempt, Reason: "the engine closed the stream before its end event"})
 	default:
 		go run.call.Placer.Stale(run.target)
 		run.step(Broken{Attempt: attempt, Reason: err.Error()})
--- a/internal/dispatch/driver_test.go
+++ b/internal/dispatch/driver_test.go
@@ -22,7 +22,8 @@
 	eventSize  = 1000
 )
 
-// hugeEngine streams some 60 MB as fast as it may, and counts what it has written.
+// largeResponseEngine streams about 60 MB as fast as it can and counts the events
+// written.
 type hugeEngine struct{ written atomic.Int64 }
 
 func (engine *hugeEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
@@ -49,7 +50,7 @@
 func (oneEngine) Alive(Target) context.Context { return context.Background() }
 func (oneEngine) Stale(Target)                 {}
 
-// stalled is a caller that reads nothing until it is released.
+// blockingSink reads nothing until it is released.
 type stalled struct {
 	released chan struct{}
 	received int
@@ -61,8 +62,8 @@
 	return false, nil
 }
 
-// TestSlowCallerHoldsTheEngineBack lets a caller stand still, and checks that the
-// node does not read the answer into its memory meanwhile.
+// TestSlowCallerAppliesBackpressure blocks the caller and checks that the node
+// does not buffer the engine's response in memory meanwhile.
 func TestSlowCallerHoldsTheEngineBack(t *testing.T) {
 	engine := &hugeEngine{}
 	server := httptest.NewServer(engine)
@@ -76,7 +77,7 @@
 			Placer: oneEngine{address: strings.TrimPrefix(server.URL, "http://")}, Sink: sink, Limits: DefaultLimits, Budget: &steadyBudget{},
 		})
 	}()
-	// The engine comes to a stop once the buffers between are full.
+	// The engine blocks once the socket buffers are full.
 	for last := int64(-1); last != engine.written.Load() || last <= 0; time.Sleep(100 * time.Millisecond) {
 		last = engine.written.Load()
 	}
@@ -86,13 +87,13 @@
 	require.Equal(t, hugeEvents, sink.received)
 }
 
-// refusing is a sink that fails on its first event.
+// failingSink fails on its first event.
 type refusing struct{ err error }
 
 func (sink refusing) Emit([]byte) (bool, error) { return false, sink.err }
 
-// TestAnAnswerThatBreaksOffIsNoSuccess has sinks that cannot pass an event on: no
-// such run may be taken for a whole answer.
+// TestSinkErrorFailsRequest checks that a request whose sink cannot forward an
+// event does not succeed.
 func TestAnAnswerThatBreaksOffIsNoSuccess(t *testing.T) {
 	server := httptest.NewServer(&hugeEngine{})
 	defer server.Close()
@@ -109,8 +110,8 @@
 	}
 }
 
-// failingOnce answers its first request with a status of its own making, and
-// serves the next ones.
+// failOnceEngine answers the first request with the given status and serves all
+// later ones.
 type failingOnce struct {
 	status   int
 	requests atomic.Int32
@@ -127,7 +128,7 @@
 	_, _ = fmt.Fprint(writer, "id: 0\ndata: text\n\nid: 1\ndata: [DONE]\n\n")
 }
 
-// collecting is a caller that takes everything.
+// countingSink accepts and counts all events.
 type collecting struct{ received int }
 
 func (sink *collecting) Emit([]byte) (bool, error) {
@@ -135,8 +136,8 @@
 	return false, nil
 }
 
-// TestOnlyTheCallersFaultsAreFinal sends a request that the engine answers with an
-// error: one of the request's own is the answer, one of the engine's is not.
+// TestOnlyClientErrorsAreFinal checks that a status that blames the request is
+// forwarded to the caller, and that a status that blames the engine is retried.
 func TestOnlyTheCallersFaultsAreFinal(t *testing.T) {
 	for status, final := range map[int]bool{400: true, 404: true, 422: true, 408: false, 429: false, 500: false, 503: false} {
 		engine := &failingOnce{status: status}
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -1,8 +1,8 @@
-// Package dispatch carries one request through its attempts until the caller
-// has the whole answer or a final refusal.
+// Package dispatch executes one request, with retries and stream resumption,
+// until the caller has the whole response or a final failure.
 //
-// Machine is a pure state machine: events and a time go in, actions come out.
-// Driver performs the actions.
+// Machine is a pure state machine that maps events and a time to actions. Driver
+// performs the actions.
 package dispatch
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Target is the engine an attempt was chosen for, and what it held then.
+// Target identifies the engine selected for an attempt, with the incarnation and
+// the weights that it had at that time.
 type Target struct {
 	Endpoint string
 	Address  string
@@ -21,60 +22,60 @@
 	Weights  string
 }
 
-// Event is what happened. Events that name an attempt other than the current
-// one are late or crossed, and are counted and dropped.
+// Event is an input of the machine. Events of an attempt other than the current
+// one arrived late or belong to another request; they are counted and dropped.
 type Event interface{ event() }
 
-// Placed says where the next attempt goes.
+// Placed carries the target of the next attempt.
 type Placed struct {
 	Attempt string
 	Target  Target
 }
 
-// NotPlaced says that no engine can take the request now.
+// NotPlaced reports that no engine can take the request now.
 type NotPlaced struct{ Failure *failure.Failure }
 
-// Opened says that an engine answered an attempt's headers.
+// Opened reports that the response headers of an attempt have arrived.
 type Opened struct {
 	Attempt string
 	Served  engineapi.Served
 }
 
-// Received is one event of an answer.
+// Received carries one event of a response.
 type Received struct {
 	Attempt string
 	Event   engineapi.Event
 }
 
-// NotStarted is an engine's word that it did not start an attempt.
+// NotStarted reports that the engine confirmed that it did not start an attempt.
 type NotStarted struct {
 	Attempt string
 	Reason  string
 }
 
-// Rejected is an engine's final word on the request itself.
+// Rejected reports that an engine rejected the request itself; it is final.
 type Rejected struct {
 	Attempt string
 	Status  int
 	Body    []byte
 }
 
-// Broken says that an attempt's connection ended without the explicit end.
+// Broken reports that an attempt's connection ended without the end event.
 type Broken struct {
 	Attempt string
 	Reason  string
 }
 
-// TextComplete says that the caller has the whole text of the answer.
+// TextComplete reports that the caller has the whole text of the response.
 type TextComplete struct{}
 
-// Unreadable says that an event of the answer cannot be passed on.
+// MalformedEvent reports that an event of the response cannot be forwarded.
 type Unreadable struct{}
 
-// Expired says that the request's deadline has passed.
+// Expired reports that the request's deadline has passed.
 type Expired struct{}
 
-// CallerLeft says that nobody wants the answer any more.
+// CallerLeft reports that the caller has disconnected.
 type CallerLeft struct{}
 
 func (Placed) event()       {}
@@ -89,20 +90,21 @@
 func (Expired) event()      {}
 func (CallerLeft) event()   {}
 
-// Action is what the driver must do.
+// Action is an operation that the driver must perform.
 type Action interface{ action() }
 
-// Place asks for an engine that is not excluded.
+// Place selects an engine that is not excluded.
 type Place struct{ Excluded []string }
 
-// Send opens an attempt. ContinueAt is the offset to go on from; 0 starts afresh.
+// Send opens an attempt. ContinueAt is the offset to continue at; 0 starts from
+// the beginning.
 type Send struct {
 	Attempt    string
 	Target     Target
 	ContinueAt int
 }
 
-// Resume reopens an attempt's stream after an offset, following a pause.
+// Resume reopens an attempt's stream after an offset, following a delay.
 type Resume struct {
 	Attempt string
 	Target  Target
@@ -110,22 +112,23 @@
 	Pause   time.Duration
 }
 
-// Cancel ends an attempt's work on its engine.
+// Cancel stops an attempt on its engine.
 type Cancel struct {
 	Attempt string
 	Target  Target
 }
 
-// Emit passes one event on to the caller.
+// Emit forwards one event to the caller.
 type Emit struct{ Data []byte }
 
-// Finish ends the answer.
+// Finish completes the response.
 type Finish struct{}
 
-// Fail ends the request with its final answer.
+// Fail ends the request with a failure.
 type Fail struct{ Failure *failure.Failure }
 
-// PassRejection hands an engine's refusal of the request itself to the caller.
+// PassRejection forwards an engine's rejection of the request itself to the
+// caller.
 type PassRejection struct {
 	Status int
 	Body   []byte
@@ -142,28 +145,30 @@
 
 // Limits bound a request's attempts.
 type Limits struct {
-	// Attempts counts engines tried; Resumes counts reopenings in a row that
-	// brought nothing new.
+	// MaxAttempts bounds the engines tried; MaxResumes bounds consecutive resumes
+	// that yield no new event.
 	Attempts int
 	Resumes  int
-	// ResumePause is the wait before the second and later reopenings.
+	// ResumeDelay is the delay step between resumes: the first resume is immediate,
+	// and each further one waits one step longer.
 	ResumePause time.Duration
-	// ReorderWindow bounds the events held back for a missing earlier one.
+	// ReorderWindow bounds the events buffered while an earlier one is missing.
 	ReorderWindow int
-	// RetryAfter is when a caller that was given up on should come back.
+	// RetryAfter is the retry delay returned to the caller of a failed request.
 	RetryAfter time.Duration
 }
 
-// DefaultLimits suit engines that answer within seconds.
+// DefaultLimits are suitable for engines that respond within seconds.
 var DefaultLimits = Limits{Attempts: 4, Resumes: 2, ResumePause: 50 * time.Millisecond, ReorderWindow: 64, RetryAfter: time.Second}
 
-// Budget permits or denies one more attempt; see package retry.
+// Budget permits or denies retries; see package retry.
 type Budget interface {
-	// Withdraw takes one retry from the budget and reports whether it was there.
+	// Withdraw takes one retry from the budget and reports whether one was
+	// available.
 	Withdraw(now time.Time) bool
 }
 
-// Machine is the state of one request.
+// Machine is the state machine of one request.
 type Machine struct {
 	limits Limits
 	budget Budget
@@ -174,18 +179,18 @@
 	resumes  int
 	excluded []string
 	opened   bool
-	// mayHaveRun turns true when an attempt went out and no engine's own word
-	// says that it did not start.
+	// mayHaveRun is set once an attempt was sent and the engine has not confirmed
+	// that it did not start.
 	mayHaveRun bool
 	next       int
 	held       map[int]engineapi.Event
 	finished   bool
 	complete   bool
-	// Dropped counts events of attempts that are not the current one.
+	// Dropped counts events of attempts other than the current one.
 	Dropped int
 }
 
-// NewMachine returns the machine of a new request.
+// NewMachine returns a machine for a new request.
 func NewMachine(limits Limits, budget Budget) *Machine {
 	return &Machine{limits: limits, budget: budget, held: map[int]engineapi.Event{}}
 }
@@ -195,10 +200,10 @@
 	return []Action{Place{}}
 }
 
-// Finished reports whether the final answer was given.
+// Finished reports whether the request has reached its final result.
 func (machine *Machine) Finished() bool { return machine.finished }
 
-// Step takes one event. After the final answer it returns no actions.
+// Step processes one event. It returns no actions once the request has finished.
 func (machine *Machine) Step(now time.Time, event Event) []Action {
 	if machine.finished {
 		return nil
@@ -225,18 +230,18 @@
 		machine.complete = true
 		return nil
 	case Unreadable:
-		return machine.abandon(failure.KindStreamBroken, "the engine sent an event that cannot be read", "send the request again")
+		return machine.abandon(failure.KindStreamBroken, "the engine sent a malformed event", "send the request again")
 	case Expired:
 		return machine.abandon(failure.KindDeadline, "the request's deadline passed", "send it again, or declare a longer deadline for its class")
 	case CallerLeft:
-		return machine.abandon(failure.KindCallerLeft, "the caller left before the end", "send the request again")
+		return machine.abandon(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again")
 	default:
 		return nil
 	}
 }
 
-// current runs the step only for the current attempt. Anything else is an
-// answer that arrives late or crossed, and must never reach the caller.
+// ifCurrent runs step for events of the current attempt only. Any other event is
+// late or belongs to another request, and must never reach the caller.
 func (machine *Machine) current(attempt string, step func() []Action) []Action {
 	if attempt == "" || attempt != machine.attempt {
 		machine.Dropped++
@@ -262,8 +267,8 @@
 	return []Action{Fail{Failure: &final}}
 }
 
-// checkServed compares what answered with what the attempt was chosen for. A
-// mismatch is discarded before a byte reaches the caller.
+// checkIdentity compares the responding engine with the one selected for the
+// attempt. A mismatch is discarded before any byte reaches the caller.
 func (machine *Machine) checkServed(now time.Time, served engineapi.Served) []Action {
 	expected := engineapi.Served{Attempt: machine.attempt, Epoch: machine.target.Epoch, Weights: machine.target.Weights}
 	if served == expected {
@@ -271,7 +276,7 @@
 		return nil
 	}
 	machine.mayHaveRun = true
-	return append(machine.cancel(), machine.another(now, "the answer came from another incarnation or version")...)
+	return append(machine.cancel(), machine.another(now, "the response came from another engine incarnation or model version")...)
 }
 
 func (machine *Machine) received(event engineapi.Event) []Action {
@@ -279,7 +284,7 @@
 		return nil
 	}
 	if event.Offset >= machine.next+machine.limits.ReorderWindow {
-		// Too far ahead: the missing events were lost. Resuming fetches them.
+		// Beyond the reorder window the missing events are lost; resuming fetches them.
 		return machine.reopen()
 	}
 	machine.held[event.Offset] = event
@@ -301,21 +306,21 @@
 }
 
 func (machine *Machine) notStarted(now time.Time, reason string) []Action {
-	return machine.another(now, "the engine did not start it: "+reason)
+	return machine.another(now, "the engine did not start the request: "+reason)
 }
 
-// broken resumes on the same engine first; its stream may still be there.
+// broken resumes on the same engine first, since its stream may still exist.
 func (machine *Machine) broken(now time.Time, reason string) []Action {
 	machine.mayHaveRun = true
 	if machine.complete {
-		// Going on elsewhere would add text that does not belong to the answer.
+		// A continuation on another engine would append text after the end.
 		machine.finished = true
 		return []Action{Finish{}}
 	}
 	if machine.opened && machine.resumes < machine.limits.Resumes {
 		return machine.reopen()
 	}
-	return append(machine.cancel(), machine.another(now, "the connection broke: "+reason)...)
+	return append(machine.cancel(), machine.another(now, "the connection was lost: "+reason)...)
 }
 
 func (machine *Machine) reopen() []Action {
@@ -325,7 +330,8 @@
 	return []Action{Resume{Attempt: machine.attempt, Target: machine.target, After: machine.next - 1, Pause: pause}}
 }
 
-// another tries one more engine, within the limits and the retry budget.
+// retryOrFail tries another engine within the limits and the retry budget, or
+// fails the request.
 func (machine *Machine) another(now time.Time, reason string) []Action {
 	machine.excluded = append(machine.excluded, machine.target.Endpoint)
 	machine.attempt = ""
--- a/internal/dispatch/machine_test.go
+++ b/internal/dispatch/machine_test.go
@@ -15,9 +15,9 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// world plays the engines against one machine: it draws crashes, refusals, cut
-// connections, lost, repeated and reordered events, and answers of other
-// attempts, and checks every action.
+// simulator simulates engines for one machine and checks every action. It draws
+// crashes, rejections, lost connections, lost, repeated and reordered events, and
+// responses of other attempts.
 type world struct {
 	t        *rapid.T
 	machine  *Machine
@@ -25,11 +25,12 @@
 	emitted  int
 	finished bool
 	failed   *failure.Failure
-	// started counts attempts that an engine began to run.
+	// started counts attempts that an engine started.
 	started  int
 	attempts []string
 	queue    []Action
-	// tainted says that what answers is not what the attempt was chosen for.
+	// mismatched is set while the responding engine is not the one selected for the
+	// attempt.
 	tainted bool
 }
 
@@ -59,7 +60,7 @@
 func (world *world) run() {
 	world.queue = world.machine.Start()
 	for count := 0; len(world.queue) > 0; count++ {
-		require.Less(world.t, count, 10_000, "the request must come to an end")
+		require.Less(world.t, count, 10_000, "the request must finish")
 		next := world.queue[0]
 		world.queue = world.queue[1:]
 		world.perform(next)
@@ -77,23 +78,23 @@
 		world.attempts = append(world.attempts, attempt)
 		world.step(Placed{Attempt: attempt, Target: Target{Endpoint: attempt, Epoch: "epoch", Weights: "v1"}})
 	case Send:
-		require.Equal(world.t, world.emitted, action.ContinueAt, "an attempt goes on where the caller is")
+		require.Equal(world.t, world.emitted, action.ContinueAt, "an attempt continues at the caller's offset")
 		world.serve(action.Attempt, action.ContinueAt)
 	case Resume:
 		require.Equal(world.t, world.emitted-1, action.After)
 		world.play(action.Attempt, action.After+1)
 	case Emit:
-		require.Equal(world.t, token(world.emitted), string(action.Data), "the caller's events are whole, in order, and its own")
+		require.Equal(world.t, token(world.emitted), string(action.Data), "events are complete, in order and from the right attempt")
 		world.emitted++
 	case Finish:
-		require.Equal(world.t, world.events, world.emitted, "an end is only given to a whole answer")
+		require.Equal(world.t, world.events, world.emitted, "only a complete response is finished")
 		world.finished = true
 	case Fail:
 		world.failed = action.Failure
 	}
 }
 
-// serve answers a new attempt.
+// openAttempt simulates the response to a new attempt.
 func (world *world) serve(attempt string, from int) {
 	answer := rapid.SampledFrom([]string{"serve", "serve", "serve", "not started", "dies", "other epoch", "other weights", "other attempt"}).Draw(world.t, "answer")
 	world.tainted = strings.HasPrefix(answer, "other")
@@ -118,8 +119,8 @@
 	world.play(attempt, from)
 }
 
-// play sends events from an offset on, harmed in every way, and then the end of
-// the connection. Wrong text must never come out.
+// streamEvents sends events from an offset on with drawn faults, followed by the
+// end of the connection.
 func (world *world) play(attempt string, from int) {
 	for offset := from; offset <= world.events && len(world.queue) == 0; {
 		switch rapid.SampledFrom([]string{"next", "next", "next", "next", "repeat", "swap", "skip", "crossed", "late", "cut"}).Draw(world.t, "event") {
@@ -148,7 +149,7 @@
 			world.step(Broken{Attempt: attempt, Reason: "cut"})
 			return
 		}
-		// Emits in between do not stop the engine.
+		// Emit actions do not interrupt the stream.
 		for len(world.queue) > 0 {
 			emit, isEmit := world.queue[0].(Emit)
 			if !isEmit {
@@ -169,9 +170,9 @@
 		world := &world{t: t, machine: NewMachine(DefaultLimits, budget), events: rapid.IntRange(1, 30).Draw(t, "events")}
 		world.run()
 		require.True(t, world.machine.Finished())
-		require.True(t, world.finished != (world.failed != nil), "a request has exactly one end")
+		require.True(t, world.finished != (world.failed != nil), "a request has exactly one result")
 		if world.failed != nil && world.failed.Outcome == failure.NotRun {
-			require.Zero(t, world.started, "not-run is true")
+			require.Zero(t, world.started, "not-run is reported only if no engine started the request")
 		}
 		require.LessOrEqual(t, len(world.attempts), DefaultLimits.Attempts)
 	})
