--- a/internal/endpoint/record.go
+++ b/internal/endpoint/record.go
@@ -1,36 +1,35 @@
-// Package endpoint keeps what a node knows of the back ends: their incarnation,
-// weights, whether they leave or are down, their load, and this node's own work
-// on them.
+// Package endpoint tracks the state of backends as seen by one node: their
+// incarnation, weights, health and load, and this node's own attempts on them.
 package endpoint
 
 import "github.com/cloverrail/cloverrail/internal/engineapi"
 
-// Record is what nodes tell each other of one back end. Records are hints: the
-// engine itself refuses what was chosen for another epoch or version.
+// Record is the state of one backend that nodes exchange. Records are hints: an
+// engine itself rejects requests sent for another epoch or version.
 type Record struct {
 	Name string
-	// Version orders records of one back end.
+	// Version orders the records of one backend.
 	Version uint64
 	Epoch   string
 	// Weights is the loaded version of each model.
 	Weights map[string]string
-	// Loading says that the engine is busy loading weights.
+	// Loading is set while the engine loads weights.
 	Loading bool
-	// Leaving is set by the first signal that the back end leaves and stays set
-	// until it shows a newer epoch.
+	// Leaving is set by the first signal that the backend is shutting down and stays
+	// set until the backend reports a newer epoch.
 	Leaving bool
-	// Down says that the back end did not answer its reader.
+	// Down is set when the backend does not respond to its observer.
 	Down bool
 }
 
-// Observation is one look at a back end.
+// Observation is the result of one status query to a backend.
 type Observation struct {
 	Answered bool
 	Status   engineapi.Status
 }
 
-// Observe returns the record that follows from an observation, and whether it
-// differs from the one before.
+// Observe returns the record updated by an observation, and whether it differs
+// from the previous one.
 func Observe(known Record, observation Observation) (Record, bool) {
 	next := known
 	if !observation.Answered {
@@ -42,8 +41,8 @@
 		next.Epoch = status.Epoch
 		next.Weights = status.Weights
 		next.Loading = status.Loading
-		// A back end that said it leaves does not come back by keeping silent:
-		// only a newer epoch readmits it.
+		// Only a newer epoch readmits a backend that announced its shutdown; a
+		// status without the flag does not.
 		next.Leaving = status.Leaving || (known.Leaving && !restarted)
 	}
 	if same(known, next) {
@@ -53,7 +52,7 @@
 	return next, true
 }
 
-// Leave returns the record with the leaving mark, and whether that is news.
+// MarkLeaving returns the record marked as leaving, and whether it has changed.
 func Leave(known Record) (Record, bool) {
 	if known.Leaving {
 		return known, false
--- a/internal/endpoint/record_test.go
+++ b/internal/endpoint/record_test.go
@@ -12,8 +12,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// TestLeavingStaysUntilANewerEpoch draws signals in any order, and checks that
-// nothing but a new incarnation readmits a back end that was once leaving.
+// TestLeavingPersistsUntilNewerEpoch draws signals in any order and checks that
+// only a new incarnation readmits a backend that was marked as leaving.
 func TestLeavingStaysUntilANewerEpoch(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		record, _ := Observe(Record{Name: "e"}, Observation{Answered: true, Status: engineapi.Status{Epoch: "0"}})
@@ -85,7 +85,7 @@
 	silent := table.Candidates(nil, "p", "", "", now)[2]
 	require.Equal(t, 2000, silent.QueuedTokens)
 	require.Equal(t, 6, silent.Running)
-	require.Zero(t, table.Candidates(nil, "p", "", "", now.Add(time.Minute))[0].QueuedTokens, "old reports say nothing")
+	require.Zero(t, table.Candidates(nil, "p", "", "", now.Add(time.Minute))[0].QueuedTokens, "expired reports are ignored")
 }
 
 func TestWorkSentAfterAReportCountsUntilTheNext(t *testing.T) {
--- a/internal/endpoint/table.go
+++ b/internal/endpoint/table.go
@@ -11,14 +11,14 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// loadLag is how far a load report is behind the engine at the most: attempts
-// sent that long before a report arrived may not be in it yet.
+// maxLoadReportDelay is the maximum delay of a load report: attempts sent within
+// this time before a report arrived may not be included in it.
 const loadLag = 250 * time.Millisecond
 
-// loadLife is how long a load report says something about its engine.
+// loadReportTTL is how long a load report is considered valid.
 const loadLife = 2 * time.Second
 
-// Table holds all back ends of the snapshot in force. It is safe for
+// Table holds all backends of the active configuration snapshot. It is safe for
 // concurrent use.
 type Table struct {
 	mutex     sync.Mutex
@@ -39,13 +39,13 @@
 	lost     context.CancelFunc
 }
 
-// sending is an attempt that the load report may not show yet.
+// unreportedAttempt is an attempt that the load report may not include yet.
 type sending struct {
 	at     time.Time
 	tokens int
 }
 
-// View is what operators see of a back end.
+// View is the state of a backend as shown to operators.
 type View struct {
 	Backend  configuration.Backend
 	Record   Record
@@ -59,7 +59,7 @@
 	return &Table{endpoints: map[string]*state{}, pools: map[string][]*state{}}
 }
 
-// Configure follows a new snapshot. Back ends that stay keep their state.
+// Configure applies a new snapshot. Backends that remain keep their state.
 func (table *Table) Configure(snapshot *configuration.Snapshot) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -98,7 +98,7 @@
 	state.alive, state.lost = context.WithCancel(context.Background())
 }
 
-// Record returns what is known of a back end.
+// Record returns the current record of a backend.
 func (table *Table) Record(name string) (Record, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -109,8 +109,8 @@
 	return known.record, true
 }
 
-// Merge takes a record of a higher version. Streams on an incarnation that is
-// gone are told so.
+// Merge applies a record of a higher version. It cancels the context of an
+// incarnation that has been replaced or has gone down, which aborts its streams.
 func (table *Table) Merge(record Record) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -129,7 +129,7 @@
 	known.record = record
 }
 
-// Report takes a load report.
+// ReportLoad applies a load report.
 func (table *Table) Report(name string, load engineapi.Load, at time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -147,7 +147,7 @@
 	known.sent = kept
 }
 
-// Begin counts an attempt in flight.
+// Begin counts an attempt as in flight.
 func (table *Table) Begin(name string, tokens int, now time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// End counts an attempt's end.
+// End records the end of an attempt.
 func (table *Table) End(name string, failed bool, now time.Time) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -174,7 +174,8 @@
 	}
 }
 
-// Alive returns a context that ends when the incarnation in force now is gone.
+// IncarnationContext returns a context that is canceled when the current
+// incarnation of a backend ends.
 func (table *Table) Alive(name string) context.Context {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -184,8 +185,8 @@
 	return context.Background()
 }
 
-// Candidates appends the back ends of a pool or service, as routing sees them
-// for a model at a version. Plain services pass an empty model.
+// Candidates appends the backends of a pool or service as routing candidates for a
+// model version. Plain services pass an empty model.
 func (table *Table) Candidates(candidates []routing.Candidate, pool, model, version string, now time.Time) []routing.Candidate {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -219,7 +220,7 @@
 	return candidates
 }
 
-// Address returns the address of a back end, or "".
+// Address returns the address of a backend, or "" if it is unknown.
 func (table *Table) Address(name string) string {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -229,7 +230,7 @@
 	return ""
 }
 
-// Usable counts the back ends of a pool that take new work.
+// CountUsable returns the number of backends of a pool that accept new work.
 func (table *Table) Usable(pool string) int {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -242,9 +243,9 @@
 	return count
 }
 
-// typicalLoad is the mean of the loads heard of lately. An engine that nothing
-// was heard of counts as typical: as idle it would draw the requests of every
-// node that knows as little.
+// meanLoad returns the mean of the valid load reports of a pool. It is assumed for
+// engines without a valid report: were they assumed idle, every node without a
+// report would send its requests to them.
 func typicalLoad(pool []*state, now time.Time) engineapi.Load {
 	typical, heard := engineapi.Load{}, 0
 	for _, known := range pool {
@@ -262,7 +263,7 @@
 	return typical
 }
 
-// Views lists all back ends.
+// Views returns all backends.
 func (table *Table) Views() []View {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
