--- a/internal/plain/forwarder.go
+++ b/internal/plain/forwarder.go
@@ -1,5 +1,6 @@
-// Package plain forwards requests to plain HTTP services. A request whose route
-// is not repeatable is sent again only while no byte of it can have left.
+// Package plain forwards requests to plain HTTP services. A request of a route
+// that is not declared repeatable (idempotent) is retried only if it cannot have
+// reached a server.
 package plain
 
 import (
@@ -20,14 +21,14 @@
 
 const (
 	connectTimeout = 500 * time.Millisecond
-	// maximumAnswer bounds an answer, which is held whole before it is passed
-	// on, so that a cut answer never reaches the caller.
+	// maxAnswerBytes bounds an answer. Answers are buffered in full before they are
+	// forwarded, so that a truncated one never reaches the caller.
 	maximumAnswer = 16 << 20
 	maximumTries  = 3
 	retryAfter    = time.Second
 )
 
-// Request is one request to forward.
+// Request describes a request to forward.
 type Request struct {
 	Method     string
 	Path       string
@@ -36,26 +37,26 @@
 	Repeatable bool
 }
 
-// Answer is a back end's whole answer.
+// Answer is the complete response of a server.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Server is where an attempt goes.
+// Server is the destination of an attempt.
 type Server struct {
 	Name    string
 	Address string
 }
 
-// Chooser picks servers and hears how attempts went.
+// Chooser selects servers and receives the results of attempts.
 type Chooser interface {
 	Choose(excluded []string) (Server, *failure.Failure)
 	Ended(server Server, failed bool)
 }
 
-// Budget permits one more attempt.
+// Budget permits or denies retries.
 type Budget interface {
 	Withdraw(now time.Time) bool
 }
@@ -67,13 +68,14 @@
 	crossed    func()
 }
 
-// NewForwarder returns a forwarder; crossed is told of answers to another attempt.
+// NewForwarder returns a forwarder; onMismatch is called for each answer that
+// belongs to another attempt.
 func NewForwarder(crossed func()) *Forwarder {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &Forwarder{
 		repeatable: newClient(&http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64}),
-		// net/http may send a request again by itself when a kept connection
-		// turns out closed. Without kept connections it never does.
+		// net/http may retry a request by itself if a keep-alive connection turns out
+		// to be closed. Without keep-alive it never does.
 		once:    newClient(&http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}),
 		crossed: crossed,
 	}
@@ -86,8 +88,8 @@
 	}
 }
 
-// Forward sends the request until it is answered or given up. What may follow a
-// failed attempt is decided by package exchange.
+// Forward sends the request, with retries, until it is answered or fails. Package
+// exchange decides whether a failed attempt is retried.
 func (forwarder *Forwarder) Forward(ctx context.Context, request Request, chooser Chooser, budget Budget) (*Answer, error) {
 	collected := &collector{}
 	outcome := exchange.Run(ctx, exchange.Request{
@@ -111,29 +113,29 @@
 	return nil, &final
 }
 
-// collector takes the answer for the caller, who wants it whole.
+// collector implements exchange.Caller; it stores the complete answer.
 type collector struct{ answer *Answer }
 
-// Answer takes the whole answer.
+// Answer stores the complete answer.
 func (collector *collector) Answer(answer *exchange.Answer) error {
 	collector.answer = &Answer{Status: answer.Status, Header: answer.Header, Body: answer.Body}
 	return nil
 }
 
-// Open is not called: plain answers are whole.
+// Open is never called, since plain answers are not streamed.
 func (collector *collector) Open(int, http.Header) error { return nil }
 
-// Forward is not called: plain answers are whole.
+// Forward is never called, since plain answers are not streamed.
 func (collector *collector) Forward([]byte) error { return nil }
 
-// placer adapts a chooser.
+// placer adapts a Chooser to exchange.Placer.
 type placer struct {
 	forwarder *Forwarder
 	request   Request
 	chooser   Chooser
 }
 
-// Place chooses a server.
+// Place selects a server.
 func (placer *placer) Place(excluded []string) (exchange.Placement, *exchange.Unplaced) {
 	server, refusal := placer.chooser.Choose(excluded)
 	if refusal != nil {
@@ -148,19 +150,20 @@
 	server Server
 }
 
-// Server names the server.
+// Server returns the name of the server.
 func (placement *placement) Server() string { return placement.server.Name }
 
-// Started needs no note: plain answers are whole.
+// ResponseStarted does nothing, since plain answers are not streamed.
 func (placement *placement) Started() {}
 
-// Doubtful never gives up on a silent server before the request's time is over.
+// Stalled returns false: a silent server is not abandoned before the request's
+// deadline.
 func (placement *placement) Doubtful(time.Duration) bool { return false }
 
-// StartBy is never: plain requests may begin at any time.
+// StartDeadline returns the zero time: plain requests may start at any time.
 func (placement *placement) StartBy() time.Time { return time.Time{} }
 
-// End tells the chooser how the attempt went.
+// End reports the result of the attempt to the chooser.
 func (placement *placement) End(result exchange.Result) {
 	failed := result != exchange.ResultServed && result != exchange.ResultFaulty && result != exchange.ResultNeutral
 	placement.placer.chooser.Ended(placement.server, failed)
--- a/internal/plain/forwarder_test.go
+++ b/internal/plain/forwarder_test.go
@@ -16,7 +16,7 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// inOrder chooses servers in their order.
+// sequentialChooser selects servers in list order.
 type inOrder struct {
 	servers []Server
 }
@@ -34,7 +34,7 @@
 
 func (generous) Withdraw(time.Time) bool { return true }
 
-// behaviour is how a server treats a request.
+// behavior is the handler of a test server.
 type behaviour func(writer http.ResponseWriter, request *http.Request)
 
 func answers(text string) behaviour {
@@ -56,11 +56,11 @@
 	_, _ = io.WriteString(writer, "somebody else's answer")
 }
 
-// dead is an address where nothing listens.
+// unreachableAddress is an address on which nothing listens.
 const dead = "127.0.0.1:1"
 
-// forward sends one request over servers of the given behaviours; nil is a dead
-// one. It returns how many of them it reached.
+// forward sends one request over servers with the given behaviors, where nil
+// stands for an unreachable server. It returns the number of requests received.
 func forward(t *testing.T, repeatable bool, behaviours ...behaviour) (answer *Answer, reached int, err error) {
 	t.Helper()
 	var count atomic.Int32
@@ -103,7 +103,7 @@
 	for _, harm := range []behaviour{dies, crosses} {
 		answer, reached, err := forward(t, true, harm, answers("done"))
 		require.NoError(t, err)
-		require.Equal(t, "done", string(answer.Body), "an answer of another attempt is dropped")
+		require.Equal(t, "done", string(answer.Body), "the answer of another attempt is discarded")
 		require.Equal(t, 2, reached)
 	}
 }
