--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -1,6 +1,6 @@
-// Package order decides which fenced orders go to engines: which engine loads
-// which version of a model, and when. One node at a time issues orders; it
-// holds a lease in the key-value service, whose revision is the fencing token.
+// Package order decides which fenced orders are sent to engines: which engine
+// loads which version of a model, and when. Only one node at a time issues orders.
+// It holds a lease in the key-value service whose revision is the fencing token.
 //
 // Issuer is a pure state machine.
 package order
@@ -12,41 +12,42 @@
 	"github.com/cloverrail/cloverrail/internal/engineapi"
 )
 
-// Engine is an engine as the issuer sees it.
+// Engine is the state of an engine as known to the issuer.
 type Engine struct {
 	Name    string
 	Pool    string
 	Weights map[string]string
-	// Loading says that the engine is busy loading weights.
+	// Loading is set while the engine loads weights.
 	Loading bool
-	// Usable is false for engines that are down or leave.
+	// Usable is false for engines that are down or leaving.
 	Usable bool
 }
 
-// Wanted is what a pool should have loaded.
+// PoolTarget is the desired state of a pool.
 type Wanted struct {
 	Pool string
-	// Versions of each model.
+	// Versions maps each model to the version that should be loaded.
 	Versions map[string]string
-	// LoadsAtOnce bounds the engines that load together.
+	// LoadsAtOnce bounds the engines that load weights concurrently.
 	LoadsAtOnce int
 }
 
-// Send is the action of sending an order to an engine.
+// Send is an order to send to an engine.
 type Send struct {
 	Engine string
 	Order  engineapi.Order
 }
 
 const (
-	// leaseMargin is how long before its lapse a lease is no longer relied on. An
-	// order that is late all the same is refused by the engine for its token.
+	// leaseSafetyMargin is how long before its expiry a lease is no longer relied
+	// on. An engine rejects an order that arrives later still by its fencing token.
 	leaseMargin = time.Second
-	// resendAfter is when an order without visible effect is sent again.
+	// resendInterval is how long after an order without visible effect it is sent
+	// again.
 	resendAfter = 10 * time.Second
 )
 
-// Issuer is the state of one node.
+// Issuer holds the issuing state of one node.
 type Issuer struct {
 	token int64
 	until time.Time
@@ -61,8 +62,8 @@
 // NewIssuer returns an issuer without a lease.
 func NewIssuer() *Issuer { return &Issuer{sent: map[string]sentOrder{}} }
 
-// Hold notes a lease and until when it lasts, counted from before the call that
-// granted or renewed it.
+// SetLease records a lease and its expiry, which must be computed from a time
+// before the call that granted or renewed it.
 func (issuer *Issuer) Hold(token int64, until time.Time) {
 	if token != issuer.token {
 		issuer.sent = map[string]sentOrder{}
@@ -70,16 +71,16 @@
 	issuer.token, issuer.until = token, until
 }
 
-// Lose drops the lease.
+// DropLease discards the lease.
 func (issuer *Issuer) Lose() { issuer.until = time.Time{} }
 
-// Holds reports whether orders may be issued.
+// HoldsLease reports whether orders may be issued.
 func (issuer *Issuer) Holds(now time.Time) bool {
 	return now.Add(leaseMargin).Before(issuer.until)
 }
 
-// Step returns the orders to send now. It counts an engine as loading from the
-// order on, so that a pool's pace holds before the engine's state is seen.
+// Step returns the orders to send now. An engine counts as loading once an order
+// was sent to it, so that a pool's limit holds before its state is observed.
 func (issuer *Issuer) Step(now time.Time, wanted []Wanted, engines []Engine) []Send {
 	if !issuer.Holds(now) {
 		return nil
@@ -118,7 +119,7 @@
 	return sends
 }
 
-// missing returns the order that the engine needs next, or nil.
+// nextOrder returns the next order that the engine needs, or nil.
 func (issuer *Issuer) missing(pool Wanted, engine Engine) *engineapi.Order {
 	models := make([]string, 0, len(pool.Versions))
 	for model := range pool.Versions {
--- a/internal/order/issuer_test.go
+++ b/internal/order/issuer_test.go
@@ -12,9 +12,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// fencedEngine is an engine that refuses tokens below the highest it saw. Two
-// issuers take turns with the lease; one may be
-// paused while it holds it and go on when another has it.
+// fencedEngine simulates an engine that rejects tokens below the highest one it
+// has received.
 type fencedEngine struct {
 	state   Engine
 	token   int64
@@ -42,6 +41,9 @@
 	}
 }
 
+// TestLoadsAreBoundedAndStaleTokensRejected alternates the lease between two
+// issuers. One may be paused while it holds the lease and resume after the other
+// has taken over.
 func TestPacedAndFenced(t *testing.T) {
 	property.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -80,15 +82,15 @@
 				for _, send := range act(holder, nil) {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine {
-							require.True(t, engine.take(now, send.Order), "the holder's orders are taken")
+							require.True(t, engine.take(now, send.Order), "orders of the lease holder are accepted")
 						}
 					}
 				}
 			case "wait":
 				now = now.Add(time.Duration(rapid.IntRange(50, 800).Draw(t, "milliseconds")) * time.Millisecond)
 			case "pause":
-				// The holder decides, then stands still with its orders unsent while
-				// the other one takes the lease over and acts on every engine.
+				// The holder decides on orders and is paused before it sends them, while
+				// the other issuer takes over the lease and sends to every engine.
 				parked = append(parked, act(holder, nil)...)
 				holder, token = 1-holder, token+1
 				now = now.Add(6 * time.Second)
@@ -100,12 +102,12 @@
 				for _, send := range parked {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine && send.Order.Token < token {
-							require.False(t, engine.take(now, send.Order), "a late order is refused")
+							require.False(t, engine.take(now, send.Order), "an order with a stale token is rejected")
 						}
 					}
 				}
 				if len(parked) > 0 {
-					require.Empty(t, act(1-holder, nil), "a lapsed lease is not relied on")
+					require.Empty(t, act(1-holder, nil), "an expired lease is not relied on")
 				}
 			case "version":
 				version++
@@ -117,7 +119,7 @@
 					loading++
 				}
 			}
-			require.LessOrEqual(t, loading, pace, "loads stay within the pace")
+			require.LessOrEqual(t, loading, pace, "concurrent loads stay within the limit")
 		}
 	})
 }
