--- a/internal/engineapi/body.go
+++ b/internal/engineapi/body.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// newBody hides the concrete reader from net/http, which would otherwise keep
-// the means to send the body a second time on its own.
+// newSingleUseBody hides the concrete reader type from net/http, which would
+// otherwise set Request.GetBody and could resend the body on its own.
 func newBody(data []byte) io.Reader {
 	return struct{ io.Reader }{bytes.NewReader(data)}
 }
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -23,25 +23,26 @@
 	readBuffer     = 2 << 10
 )
 
-// ErrNotStarted says that the engine itself refused a dispatch before starting it.
+// ErrNotStarted reports that the engine rejected a dispatch before starting it, or
+// could not be connected to.
 type ErrNotStarted struct{ Reason string }
 
-// Error names the engine's reason.
+// Error implements error.
 func (err *ErrNotStarted) Error() string {
 	return "the engine did not start the request: " + err.Reason
 }
 
-// ErrRejected is an engine's final word on a request, such as a bad parameter; it
-// blames the caller. Side endpoints give it for any status that is not 200.
+// ErrRejected reports a client error, such as an invalid parameter, which every
+// engine would return. Control endpoints return it for any status other than 200.
 type ErrRejected struct {
 	Status int
 	Body   []byte
 }
 
-// Error shows the status.
+// Error implements error.
 func (err *ErrRejected) Error() string { return fmt.Sprintf("the engine answered %d", err.Status) }
 
-// Dispatch is one attempt of one request on one engine.
+// Dispatch describes one attempt of one request on one engine.
 type Dispatch struct {
 	Address string
 	Path    string
@@ -51,14 +52,15 @@
 	Body    []byte
 }
 
-// Served states what answered.
+// ServerIdentity identifies the attempt, incarnation and weights that a response
+// came from.
 type Served struct {
 	Attempt string
 	Epoch   string
 	Weights string
 }
 
-// Event is one event of an answer; Done marks the explicit end.
+// Event is one event of a stream; Done marks the end event.
 type Event struct {
 	Offset int
 	Data   []byte
@@ -75,26 +77,26 @@
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		MaxIdleConnsPerHost: 256,
-		// An engine answers its headers when it accepts a request, long before the
-		// first token; one that does not has stopped without a word.
+		// An engine sends response headers when it accepts a request, long before the
+		// first token. One that does not has crashed or hangs.
 		ResponseHeaderTimeout: headerTimeout,
-		// Events are small, and each open stream has a buffer of its own.
+		// Events are small, and each open stream has its own buffer.
 		ReadBufferSize:     readBuffer,
 		DisableCompression: true,
 	}
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Answer is an open stream. Close releases it.
+// Stream is an open response stream. Close releases its connection.
 type Answer struct {
 	Served Served
 	body   io.ReadCloser
 }
 
-// Close ends the answer's connection.
+// Close closes the stream's connection.
 func (answer *Answer) Close() { _ = answer.body.Close() }
 
-// Open sends a dispatch and returns once the engine has answered its headers.
+// Open sends a dispatch and returns once the response headers have arrived.
 func (client *Client) Open(ctx context.Context, dispatch Dispatch) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+dispatch.Address+dispatch.Path, newBody(dispatch.Body))
 	if err != nil {
@@ -107,7 +109,7 @@
 	return client.open(request)
 }
 
-// Resume goes on with an attempt's stream after the given offset.
+// Resume reopens an attempt's stream after the given offset.
 func (client *Client) Resume(ctx context.Context, address, attempt string, after int) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathStreams+attempt, nil)
 	if err != nil {
@@ -139,15 +141,15 @@
 		return nil, &ErrNotStarted{Reason: reason}
 	}
 	if !callersFault(response.StatusCode) {
-		// The engine's own trouble, and it does not say whether it had started.
+		// An error of the engine; the request may or may not have started.
 		return nil, errors.Errorf("the engine answered %d", response.StatusCode)
 	}
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumEvent))
 	return nil, &ErrRejected{Status: response.StatusCode, Body: body}
 }
 
-// callersFault reports whether a status blames the request itself, so that every
-// engine would give it.
+// isClientError reports whether a status blames the request itself, so that every
+// engine would return it.
 func callersFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -157,8 +159,8 @@
 	}
 }
 
-// Read yields the events of the answer in the order they arrive, until the end
-// of the stream, an error, or until the consumer stops.
+// Read yields the events of the stream in the order of arrival until the stream
+// ends, an error occurs or yield returns false.
 func (answer *Answer) Read(yield func(Event) bool) error {
 	var failed error
 	for event, err := range sse.Read(answer.body, &sse.ReadConfig{MaxEventSize: maximumEvent}) {
@@ -168,7 +170,7 @@
 		}
 		offset, err := strconv.Atoi(event.LastEventID)
 		if err != nil {
-			return errors.Errorf("event without a number in its id: %q", event.LastEventID)
+			return errors.Errorf("event id is not a number: %q", event.LastEventID)
 		}
 		if !yield(Event{Offset: offset, Data: []byte(event.Data), Done: event.Data == "[DONE]"}) {
 			return nil
@@ -180,7 +182,7 @@
 	return failed
 }
 
-// Cancel ends an attempt's work on the engine. It is best effort.
+// Cancel stops an attempt on the engine. It is best effort.
 func (client *Client) Cancel(address, attempt string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sideTimeout)
 	defer cancel()
@@ -193,19 +195,19 @@
 	}
 }
 
-// Status asks an engine for its account of itself.
+// Status queries an engine's status.
 func (client *Client) Status(ctx context.Context, address string) (Status, error) {
 	return side[Status](ctx, client, sling.New().Get("http://"+address+PathStatus))
 }
 
-// eventQuery is the query of a read of cache events.
+// eventQuery holds the query parameters of the cache event stream.
 type eventQuery struct {
 	After uint64 `url:"after"`
 }
 
-// Follow reads the stream of cache events after a sequence number, until handle
-// returns false or the stream ends. A stream that is silent for longer than
-// silence has ended.
+// WatchEvents reads the stream of cache events after a sequence number until
+// handle returns false or the stream ends. A stream without a message for longer
+// than silenceTimeout is closed.
 func (client *Client) Follow(ctx context.Context, address string, after uint64, silence time.Duration, handle func(EventBatch) bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -236,12 +238,12 @@
 	}
 }
 
-// Snapshot reads the whole cache.
+// Snapshot reads the whole prefix cache of an engine.
 func (client *Client) Snapshot(ctx context.Context, address string) (Snapshot, error) {
 	return side[Snapshot](ctx, client, sling.New().Get("http://"+address+PathSnapshot))
 }
 
-// Order sends a fenced order.
+// Order sends a fenced order to an engine.
 func (client *Client) Order(ctx context.Context, address string, order Order) error {
 	_, err := side[json.RawMessage](ctx, client, sling.New().Post("http://"+address+PathOrders).BodyJSON(order))
 	return err
--- a/internal/engineapi/completion.go
+++ b/internal/engineapi/completion.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// CompletionRequest is the part of a completions call that cloverrail reads.
-// All other fields pass through unread.
+// CompletionRequest is the part of a completions call that cloverrail reads. All
+// other fields are forwarded unchanged.
 type CompletionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt,omitempty"`
@@ -21,7 +21,7 @@
 	Transfer            *Transfer       `json:"kv_transfer,omitempty"`
 }
 
-// StreamOptions are the caller's wishes for a streamed answer.
+// StreamOptions holds the caller's options for a streamed response.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
@@ -32,7 +32,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// PromptText is the text whose blocks are cached: the prompt, or the messages
+// PromptText returns the text whose blocks are cached: the prompt, or the messages
 // in order with their roles.
 func (request *CompletionRequest) PromptText() []byte {
 	if len(request.Messages) == 0 {
@@ -57,7 +57,7 @@
 	return text
 }
 
-// OutputLimit is the number of tokens asked for, or fallback.
+// OutputLimit returns the requested maximum of output tokens, or fallback.
 func (request *CompletionRequest) OutputLimit(fallback int) int {
 	switch {
 	case request.MaxCompletionTokens > 0:
@@ -80,7 +80,7 @@
 	Usage             *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative of a chunk or of a whole answer.
+// Choice is one alternative of a chunk or of a complete response.
 type Choice struct {
 	Index        int             `json:"index"`
 	Text         *string         `json:"text,omitempty"`
@@ -90,14 +90,14 @@
 	FinishReason *string         `json:"finish_reason"`
 }
 
-// Delta is the piece of a chat message that a chunk adds.
+// Delta is the part of a chat message that a chunk adds.
 type Delta struct {
 	Role      string          `json:"role,omitempty"`
 	Content   *string         `json:"content,omitempty"`
 	ToolCalls json.RawMessage `json:"tool_calls,omitempty"`
 }
 
-// Content is the text that the choice adds.
+// Content returns the text that the choice adds.
 func (choice *Choice) Content() string {
 	switch {
 	case choice.Text != nil:
@@ -117,7 +117,7 @@
 	Details          *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails says how much of the prompt came from the prefix cache.
+// UsageDetails counts the prompt tokens that came from the prefix cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
--- a/internal/engineapi/run.go
+++ b/internal/engineapi/run.go
@@ -6,23 +6,23 @@
 	"github.com/cloverrail/cloverrail/internal/prefix"
 )
 
-// blockBytes is the size of one block's name.
+// hashBytes is the encoded size of one block hash.
 const blockBytes = 8
 
-// Run is a row of cache events with consecutive sequence numbers and one kind.
-// The blocks of one chain follow each other: each stored block's parent is the
-// block before it, each evicted block's parent the block after it.
+// EventRun is a run of cache events with consecutive sequence numbers and the same
+// kind. In a stored run, each block's parent is the block before it. An evicted
+// run need not be a chain; the parents of its blocks are omitted.
 type Run struct {
 	First uint64    `json:"first"`
 	Kind  EventKind `json:"kind"`
-	// Parent of the first block of a stored run.
+	// Parent is the parent of the first block of a stored run.
 	Parent prefix.Hash `json:"parent,omitempty"`
-	// Blocks holds the names, eight bytes each, least significant first.
+	// Blocks holds the block hashes, eight bytes each, little-endian.
 	Blocks []byte `json:"blocks,omitempty"`
 }
 
-// Pack puts events into runs. An evicted block's parent is not needed by anyone
-// who knew the block, and is left out.
+// Pack encodes events as runs. The parents of evicted blocks are omitted, since a
+// receiver that tracks the block already knows its parent.
 func Pack(events []CacheEvent) []Run {
 	runs := []Run{}
 	var last CacheEvent
@@ -43,7 +43,7 @@
 	return runs
 }
 
-// Unpack is the inverse of Pack, but for the parents of evicted blocks.
+// Unpack decodes runs. It restores everything but the parents of evicted blocks.
 func Unpack(runs []Run) []CacheEvent {
 	events := []CacheEvent{}
 	for _, run := range runs {
--- a/internal/engineapi/run_test.go
+++ b/internal/engineapi/run_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// BenchmarkEventBytes reports what an event costs on the wire when a request
-// stores 26 blocks and evicts 26, as at the size designed for.
+// BenchmarkPackedEventSize reports the encoded size of an event for a request that
+// stores 26 blocks and evicts 26, as at the designed fleet size.
 func BenchmarkEventBytes(b *testing.B) {
 	events := []CacheEvent{}
 	parent := prefix.Hash(1)
