--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -14,13 +14,14 @@
 	"github.com/cloverrail/cloverrail/internal/strictyaml"
 )
 
-// commandTries bounds the repetitions of a command that lost a race. Unlike a
-// whole declaration, a command means the same on top of any other change.
+// maxCommandAttempts bounds the attempts of a command whose write conflicts with
+// another change. Unlike a whole declaration, a command can be reapplied on top of
+// any other change.
 const commandTries = 5
 
-// Execute carries out a command: it changes the declaration in the key-value
-// service, and returns the version that put it in force. Parts that the known
-// version has, which may be nil, are not read again.
+// Execute runs a command: it changes the declaration in the key-value service and
+// returns the resulting version. Parts contained in the cached version, which may
+// be nil, are not read again.
 func Execute(ctx context.Context, store *configstore.Store, known *configstore.Version, statement *Statement) (*configstore.Version, error) {
 	var lost error
 	for range commandTries {
@@ -29,7 +30,7 @@
 			return nil, err
 		}
 		if base == nil {
-			return nil, failure.New(failure.KindNotConfigured, "nothing is declared yet", "apply a declaration first")
+			return nil, failure.New(failure.KindNotConfigured, "no declaration has been applied yet", "apply a declaration first")
 		}
 		declaration, err := configstore.Join(base.Parts)
 		if err != nil {
@@ -67,7 +68,7 @@
 
 func drain(declaration *configuration.Declaration, name string) error {
 	if !declaration.HasBackend(name) {
-		return unknown("back end", name, "show engines")
+		return unknown("backend", name, "show engines")
 	}
 	for _, drained := range declaration.Draining {
 		if drained == name {
@@ -86,7 +87,7 @@
 		}
 	}
 	if len(kept) == len(declaration.Draining) {
-		return failure.New(failure.KindNotFound, name+" is not draining by command", "see `show engines where state = draining`")
+		return failure.New(failure.KindNotFound, name+" is not drained by a command", "see `show engines where state = draining`")
 	}
 	declaration.Draining = kept
 	return nil
@@ -136,10 +137,10 @@
 	return unknown("model", set.Name, "show models")
 }
 
-// decode reads a JSON message, naming the remedy when it cannot.
+// decode parses a JSON message; its error includes a remedy.
 func decode(data []byte, into any) error {
 	if err := json.Unmarshal(data, into); err != nil {
-		return failure.New(failure.KindInvalidRequest, "the message is not valid: "+err.Error(), "use the cloverrail command of the same version")
+		return failure.New(failure.KindInvalidRequest, "the message cannot be decoded: "+err.Error(), "use the cloverrail command of the same version")
 	}
 	return nil
 }
--- a/internal/operator/language.go
+++ b/internal/operator/language.go
@@ -1,5 +1,5 @@
-// Package operator is the operators' interface: a small query and command
-// language, and the calls behind check, plan and apply.
+// Package operator implements the operators' interface: a small query and command
+// language, and the calls behind plan and apply.
 package operator
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// Statement is one line of the language; exactly one field is set.
+// Statement is a parsed statement; exactly one field is set.
 type Statement struct {
 	Show    *Show    `parser:"(  'show' @@"`
 	Drain   *Drain   `parser:" | 'drain' @@"`
@@ -20,7 +20,7 @@
 	Set     *Set     `parser:" | 'set' @@ )"`
 }
 
-// Show is a query: show engines where state = draining limit 10.
+// Show is a query, such as: show engines where state = draining limit 10.
 type Show struct {
 	Subject    string      `parser:"@('engines' | 'nodes' | 'tenants' | 'models' | 'pools' | 'services' | 'prefixes' | 'configuration')"`
 	Hot        bool        `parser:"@'hot'?"`
@@ -28,20 +28,20 @@
 	Limit      int         `parser:"('limit' @Word)?"`
 }
 
-// Condition compares one column.
+// Condition compares one column with a value.
 type Condition struct {
 	Column   string `parser:"@Word"`
 	Operator string `parser:"@Operator"`
 	Value    string `parser:"@(Word | String)"`
 }
 
-// Drain stops new work for a back end: drain engine NAME.
+// Drain stops new work for a backend: drain engine NAME.
 type Drain struct {
 	Kind string `parser:"@('engine' | 'server')"`
 	Name string `parser:"@(Word | String)"`
 }
 
-// Readmit undoes Drain.
+// Readmit reverts a Drain: readmit engine NAME.
 type Readmit struct {
 	Kind string `parser:"@('engine' | 'server')"`
 	Name string `parser:"@(Word | String)"`
@@ -55,7 +55,7 @@
 	Value   string `parser:"@(Word | String)"`
 }
 
-// A number is a word too: versions such as 2026-12 begin with one.
+// A Word may start with a digit, as in the version 2026-12.
 var rules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Word", Pattern: `[a-zA-Z0-9][a-zA-Z0-9_.:/-]*`},
@@ -69,7 +69,8 @@
 	participle.Unquote("String"),
 )
 
-// Parse reads one statement. A fault names the column and what was expected.
+// Parse parses one statement. A syntax error names the column and the expected
+// token.
 func Parse(text string) (*Statement, error) {
 	statement, err := statementParser.ParseString("", text)
 	if err == nil {
--- a/internal/operator/language_test.go
+++ b/internal/operator/language_test.go
@@ -57,7 +57,7 @@
 	require.Equal(t, 5, declared.Tenants[0].Priority)
 	require.Equal(t, 2, declared.Tenants[1].Priority)
 	require.NoError(t, run("drain engine e1"))
-	require.NoError(t, run("drain engine e1"), "a repeated command does no harm")
+	require.NoError(t, run("drain engine e1"), "drain is idempotent")
 	require.Equal(t, []string{"e1"}, declared.Draining)
 	require.NoError(t, run("readmit engine e1"))
 	require.Empty(t, declared.Draining)
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -13,13 +13,13 @@
 	"github.com/cloverrail/cloverrail/internal/node"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// View is what queries read.
+// View provides the data that queries read.
 type View interface {
 	Snapshot() *configuration.Snapshot
 	Endpoints() []endpoint.View
@@ -29,11 +29,11 @@
 
 const defaultHotLimit = 20
 
-// Query answers a show statement.
+// Query executes a show statement.
 func Query(view View, show *Show) (*Table, error) {
 	snapshot := view.Snapshot()
 	if snapshot == nil {
-		return nil, failure.New(failure.KindNotConfigured, "nothing is declared yet", "apply a declaration first")
+		return nil, failure.New(failure.KindNotConfigured, "no declaration has been applied yet", "apply a declaration first")
 	}
 	table := tableOf(view, snapshot, show)
 	if err := table.filter(show.Conditions); err != nil {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// compare orders numbers as numbers and everything else as text.
+// matches compares two numbers numerically and all other values as strings.
 func compare(left, operator, right string) bool {
 	order := strings.Compare(left, right)
 	first, firstError := strconv.ParseFloat(left, 64)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -23,7 +23,8 @@
 const (
 	maximumMessage = 64 << 20
 	callTimeout    = 20 * time.Second
-	// freeAfter is when the memory of a call is given back.
+	// memoryReleaseDelay is the delay after which the memory of a call is returned
+	// to the operating system.
 	freeAfter = time.Second
 )
 
@@ -34,39 +35,39 @@
 
 // ApplyRequest carries a whole declaration.
 type ApplyRequest struct {
-	// ChangeID is chosen by the operator's command, so that a lost answer can be
-	// settled.
+	// ChangeID is chosen by the operator's command, so that the outcome can be
+	// queried if the response is lost.
 	ChangeID string `json:"changeID"`
-	// File is the declaration's name, for messages.
+	// File is the name of the declaration's file, for messages.
 	File string `json:"file"`
-	// Declaration was read and checked by the operator's command; it is checked
-	// again here. Reading a file of 31,000 tenants takes some 800 MB for a moment,
-	// which a node does not have.
+	// Declaration was parsed and checked by the operator's command and is checked
+	// again here. It is not parsed on the node, since parsing a file of 31,000
+	// tenants temporarily takes about 800 MB, more than a node has.
 	Declaration *configuration.Declaration `json:"declaration"`
-	// BaseRevision is the revision that the operator's plan was made against; 0
-	// takes the one in force.
+	// BaseRevision is the revision that the operator's plan was based on; 0 stands
+	// for the current one.
 	BaseRevision int64 `json:"baseRevision"`
 }
 
-// SettleRequest asks what became of a change.
+// SettleRequest queries the outcome of a change.
 type SettleRequest struct {
 	ChangeID string `json:"changeID"`
 }
 
-// ChangeAnswer tells of an accepted change.
+// ChangeResponse reports whether a change was accepted.
 type ChangeAnswer struct {
 	Accepted bool   `json:"accepted"`
 	Revision int64  `json:"revision"`
 	ChangeID string `json:"changeID"`
 }
 
-// PlanAnswer lists what a declaration would change.
+// PlanResponse lists the changes that a declaration would make.
 type PlanAnswer struct {
 	Revision    int64             `json:"revision"`
 	Differences []difference.Line `json:"differences"`
 }
 
-// StatusAnswer is a node's account of itself.
+// StatusResponse is the status of a node.
 type StatusAnswer struct {
 	Ready       bool   `json:"ready"`
 	Revision    int64  `json:"revision"`
@@ -75,7 +76,7 @@
 	IndexBlocks int    `json:"indexBlocks"`
 }
 
-// ErrorAnswer carries a failure.
+// ErrorResponse carries a failure.
 type ErrorAnswer struct {
 	Kind    failure.Kind    `json:"kind"`
 	Outcome failure.Outcome `json:"outcome"`
@@ -83,15 +84,15 @@
 	Remedy  string          `json:"remedy"`
 }
 
-// Server is the operators' HTTP interface of one node.
+// Server serves the operators' HTTP interface of one node.
 type Server struct {
 	node      *node.Node
 	bootstrap string
 	mux       *http.ServeMux
 }
 
-// NewServer returns the interface. Bootstrap is the digest of a key that works
-// before any operator is declared; empty means none.
+// NewServer returns the server of a node. Bootstrap is the digest of a key that is
+// accepted even before any operator is declared; empty means none.
 func NewServer(served *node.Node, bootstrap string) *Server {
 	server := &Server{node: served, bootstrap: bootstrap, mux: http.NewServeMux()}
 	server.mux.Handle("GET /metrics", promhttp.HandlerFor(served.Registry(), promhttp.HandlerOpts{}))
@@ -109,7 +110,7 @@
 	return server
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	server.mux.ServeHTTP(writer, request)
 }
@@ -137,12 +138,13 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maximumMessage))
 	if err != nil {
-		return nil, failure.New(failure.KindTooLarge, "the message is too long", "split the declaration over fleets")
+		return nil, failure.New(failure.KindTooLarge, "the message is too long", "split the declaration into several fleets")
 	}
 	return serve(ctx, body)
 }
 
-// allowed knows operators only; the keys of tenants do not open this interface.
+// isOperatorKey reports whether the key belongs to an operator. Tenant keys are not
+// accepted.
 func (server *Server) allowed(key string) bool {
 	if server.bootstrap != "" && configuration.Digest(key) == server.bootstrap {
 		return true
@@ -158,7 +160,7 @@
 func describe(err error) *failure.Failure {
 	var faults strictyaml.Faults
 	if errors.As(err, &faults) {
-		return failure.New(failure.KindInvalidRequest, faults.Error(), "mend the declaration and run `cloverrail check`")
+		return failure.New(failure.KindInvalidRequest, faults.Error(), "correct the declaration and run `cloverrail check`")
 	}
 	return failure.As(err)
 }
@@ -190,7 +192,7 @@
 	if statement.Show != nil {
 		return Query(server.node, statement.Show)
 	}
-	// A change of one tenant marshals all of them.
+	// A change of one tenant marshals all tenants.
 	defer time.AfterFunc(freeAfter, debug.FreeOSMemory)
 	version, err := Execute(ctx, server.node.Store(), server.node.Version(), statement)
 	if err != nil {
@@ -202,10 +204,10 @@
 	return answer, nil
 }
 
-// proposal is a declaration that was sent, and the version that it would follow.
+// proposal is a submitted declaration and the version that it would replace.
 type proposal struct {
 	message ApplyRequest
-	// base is nil when nothing was ever applied.
+	// base is nil if no declaration has ever been applied.
 	base *configstore.Version
 }
 
@@ -256,7 +258,7 @@
 		return nil, err
 	}
 	server.node.Adopt(version)
-	// A whole declaration as text and tree is many times its compiled size.
+	// A declaration's JSON and parsed forms take many times its compiled size.
 	time.AfterFunc(freeAfter, debug.FreeOSMemory)
 	return ChangeAnswer{Accepted: true, Revision: version.Revision, ChangeID: proposed.message.ChangeID}, nil
 }
