--- a/internal/gateway/answer.go
+++ b/internal/gateway/completion.go
@@ -16,9 +16,9 @@
 	"github.com/cloverrail/cloverrail/internal/metrics"
 )
 
-// answer passes a completion on, as a stream or as one object. It gives all
-// chunks one identifier and time, so that an answer which moved from one engine
-// to another reads like one that did not.
+// completion writes a completion to the caller, as a stream or as one object. All
+// chunks get the same ID and creation time, so that a response continued on another
+// engine is indistinguishable from one that was not.
 type answer struct {
 	served  *call
 	message *engineapi.CompletionRequest
@@ -40,7 +40,7 @@
 	return &answer{served: served, message: message, metrics: set, id: prefix + uuid.NewString(), created: time.Now().Unix()}
 }
 
-// text is what the caller has received.
+// text returns the response text emitted so far.
 func (answer *answer) text() string { return answer.content.String() }
 
 // Emit implements dispatch.Sink.
@@ -74,8 +74,8 @@
 	return answer.finish != nil, err
 }
 
-// wantsUsage reports whether the caller asked for the accounting chunk, which
-// the fleet always asks its engines for.
+// wantsUsage reports whether the caller requested the usage chunk, which nodes
+// always request from engines.
 func (answer *answer) wantsUsage() bool {
 	return answer.message.StreamOptions != nil && answer.message.StreamOptions.IncludeUsage
 }
@@ -107,9 +107,9 @@
 	return controller.Flush()
 }
 
-// end finishes the answer, with an explicit error event if it broke off. It
-// returns the failure only when nothing was sent, so that it can still be
-// answered with a status.
+// finalize ends the response, with an error event if it failed after it had
+// started. It returns the failure only if nothing was written, so that the caller
+// can still get an error status.
 func (answer *answer) end(err error) error {
 	if err == nil {
 		answer.count()
@@ -122,7 +122,7 @@
 		return nil
 	}
 	if err == nil {
-		// A caller who has left in this moment has the text all the same.
+		// A caller that disconnects now already has the whole text.
 		_ = answer.write([]byte("[DONE]"))
 		return nil
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-// whole builds the object of an answer that was not streamed.
+// completionObject returns the object of a response that is not streamed.
 func (answer *answer) whole() engineapi.Chunk {
 	content := answer.content.String()
 	choice := engineapi.Choice{FinishReason: answer.finish}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway is the callers' HTTP interface: OpenAI-style completions and
-// chat completions, the list of models, and plain services by declared route.
+// Package gateway implements the callers' HTTP interface: OpenAI-style completions
+// and chat completions, the list of models, and the declared routes of plain
+// services.
 package gateway
 
 import (
@@ -28,12 +29,12 @@
 	headerClass          = "X-Job-Class"
 	headerIdempotencyKey = "Idempotency-Key"
 	maximumKeyLength     = 200
-	// writeTimeout is how long a caller may take to accept one event. A slower
-	// one has left, whatever its connection says.
+	// writeTimeout bounds the write of one event. A slower caller is considered
+	// disconnected even if its connection is still open.
 	writeTimeout = 30 * time.Second
 )
 
-// Router is what the gateway needs of its node.
+// Router defines the operations of a node that the gateway uses.
 type Router interface {
 	Enter() (*configuration.Snapshot, func(), error)
 	Admit(ctx context.Context, tenant *configuration.Tenant) (func(), error)
@@ -45,7 +46,7 @@
 	Metrics() *metrics.Set
 }
 
-// Gateway serves callers.
+// Gateway serves callers' requests.
 type Gateway struct {
 	router Router
 	mux    *http.ServeMux
@@ -63,7 +64,7 @@
 	return gateway
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (gateway *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	gateway.mux.ServeHTTP(writer, request)
 }
@@ -76,7 +77,7 @@
 	_, _ = io.WriteString(writer, "ready\n")
 }
 
-// call is one authenticated request.
+// call holds the state of one request; its tenant is set once it is authenticated.
 type call struct {
 	http.ResponseWriter
 	request  *http.Request
@@ -86,11 +87,13 @@
 	started  time.Time
 }
 
-// wrap authenticates, admits and reads a request, and answers its failure.
+// handler returns a handler that authenticates, admits and reads a request, calls
+// handle, and writes the error response if it fails.
 func (gateway *Gateway) wrap(route string, serve func(*call) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if gateway.router.Draining() {
-			// A connection that ends with its answer cannot be cut between two.
+			// A connection closed after this response cannot be cut by the shutdown
+			// while the next request is on its way.
 			writer.Header().Set("Connection", "close")
 		}
 		served := &call{ResponseWriter: writer, request: request, started: time.Now()}
@@ -128,12 +131,12 @@
 		if errors.As(err, &tooLarge) {
 			return failure.New(failure.KindTooLarge, "the body is longer than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes", "send a shorter one")
 		}
-		return failure.New(failure.KindInvalidRequest, "the body was cut off", "send the request again")
+		return failure.New(failure.KindInvalidRequest, "the body is truncated", "send the request again")
 	}
 	return serve(served)
 }
 
-// classOf picks the job class: the one named in a header, or the tenant's own.
+// classOf returns the job class named in the header, or else the tenant's own.
 func classOf(served *call) (*configuration.Class, error) {
 	name := served.request.Header.Get(headerClass)
 	if name == "" {
@@ -149,7 +152,7 @@
 func (gateway *Gateway) complete(served *call) error {
 	message := &engineapi.CompletionRequest{}
 	if err := json.Unmarshal(served.body, message); err != nil {
-		return failure.New(failure.KindInvalidRequest, "the body is not valid: "+err.Error(), "send a JSON object as the API describes it")
+		return failure.New(failure.KindInvalidRequest, "the body cannot be decoded: "+err.Error(), "send a JSON object that follows the API")
 	}
 	if message.Model == "" {
 		return failure.New(failure.KindInvalidRequest, "model is missing", "name a model that GET /v1/models lists")
@@ -174,7 +177,7 @@
 	return answer.end(err)
 }
 
-// modelList answers GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -202,7 +205,7 @@
 func (gateway *Gateway) forward(served *call) error {
 	service, route := served.snapshot.ServiceFor(served.tenant, served.request.Method, served.request.URL.Path)
 	if service == nil {
-		return failure.New(failure.KindNotFound, "there is nothing at this path", "use a declared route")
+		return failure.New(failure.KindNotFound, "no route matches this method and path", "use a declared route")
 	}
 	key := served.request.Header.Get(headerIdempotencyKey)
 	if len(key) > maximumKeyLength {
@@ -234,12 +237,13 @@
 		}
 	}
 	served.WriteHeader(answer.Status)
-	// There is nobody to tell when the caller has left.
+	// A write error means that the caller has disconnected.
 	_, _ = served.Write(answer.Body)
 	return nil
 }
 
-// errorBody is the shape that OpenAI clients expect, with what they ignore.
+// errorBody is the error response that OpenAI clients expect, with additional
+// fields that they ignore.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -274,7 +278,8 @@
 	return errorDetail{Message: refusal.Error(), Type: kind, Code: refusal.Kind, Outcome: refusal.Outcome}
 }
 
-// refuse answers a failure whose answer has not begun.
+// writeFailure writes the error response of a request whose response has not
+// started.
 func (gateway *Gateway) refuse(writer http.ResponseWriter, err error) {
 	var rejection *dispatch.Rejection
 	if errors.As(err, &rejection) {
@@ -298,7 +303,8 @@
 	writeJSON(writer, status, errorBody{Error: detailOf(refusal)})
 }
 
-// writeJSON answers with a value. A caller who has left does not get it.
+// writeJSON writes a JSON response. Write errors are ignored, since they mean that
+// the caller has disconnected.
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
