--- a/internal/node/catalog.go
+++ b/internal/node/active_config.go
@@ -20,23 +20,26 @@
 )
 
 const (
-	// watchersPerZone nodes of each zone watch the key-value service; all others
-	// hear from their peers.
+	// watchersPerZone is the number of nodes per zone that watch the key-value
+	// service. All others get changes from their peers.
 	watchersPerZone = 2
 	rankInterval    = time.Second
-	// manyParts is more than a change of single tenants brings.
+	// largeChangeParts is a number of new parts above that of a change of single
+	// tenants.
 	manyParts  = 16
 	watchPause = time.Second
-	// rereadInterval is how often a watcher reads the key besides its watch.
+	// rereadInterval is how often a watcher rereads the key in addition to its
+	// watch.
 	rereadInterval = 10 * time.Second
 )
 
-// catalog keeps the configuration in force.
+// activeConfig holds the active configuration.
 type catalog struct {
 	store   *configstore.Store
 	service *kvservice.Client
 	floor   int64
-	// prepare is called with a new snapshot before it is in force, adopted after.
+	// beforeActivate is called with a new snapshot before requests see it,
+	// afterActivate once they do.
 	prepare func(*configuration.Snapshot)
 	adopted func(*configuration.Snapshot)
 	log     zerolog.Logger
@@ -47,7 +50,7 @@
 	snapshot atomic.Pointer[configuration.Snapshot]
 }
 
-// adopt puts a version in force if it is higher than the one in force.
+// activate activates a version if its revision is higher than the active one.
 func (catalog *catalog) adopt(version *configstore.Version) bool {
 	catalog.mutex.Lock()
 	defer catalog.mutex.Unlock()
@@ -64,24 +67,24 @@
 	snapshot, err := version.Compile()
 	if err != nil {
 		catalog.metrics.ConfigurationErr.Inc()
-		catalog.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be read")
+		catalog.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled")
 		return false
 	}
 	catalog.prepare(snapshot)
 	catalog.version.Store(version)
 	catalog.snapshot.Store(snapshot)
 	catalog.metrics.Revision.Set(float64(version.Revision))
-	catalog.log.Info().Int64("revision", version.Revision).Str("change", version.Manifest.ChangeID).Msg("configuration in force")
+	catalog.log.Info().Int64("revision", version.Revision).Str("change", version.Manifest.ChangeID).Msg("configuration activated")
 	catalog.adopted(snapshot)
 	if fresh > manyParts {
-		// Reading a whole configuration leaves several times its size as garbage,
-		// which the runtime would keep for minutes.
+		// Decoding a whole configuration leaves garbage of several times its size,
+		// which the runtime would hold for minutes.
 		go debug.FreeOSMemory()
 	}
 	return true
 }
 
-// read fetches the version in force from the service and adopts it.
+// refresh reads the current version from the key-value service and activates it.
 func (catalog *catalog) read(ctx context.Context) error {
 	version, err := catalog.store.Read(ctx, catalog.version.Load())
 	if err != nil {
@@ -91,13 +94,13 @@
 	return nil
 }
 
-// watch follows the service until the context ends.
+// watch activates changes in the key-value service until the context ends.
 func (catalog *catalog) watch(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for ctx.Err() == nil {
 		if catalog.read(ctx) == nil {
 			bounded, cancel := context.WithTimeout(ctx, rereadInterval)
-			// The end of a watch is no news: the service is read again anyhow.
+			// The error is ignored, since the service is read again in any case.
 			_ = catalog.service.Watch(bounded, configstore.ManifestKey, catalog.revision()+1, func(kvservice.KeyValue) {
 				_ = catalog.read(ctx)
 			})
@@ -121,11 +124,12 @@
 	return 0
 }
 
-// watchWhileRanked watches for as long as this node is among the first of its
-// zone. No lease is needed: a watcher too many costs one watch.
+// watchWhileSelected watches the configuration and the machine list while this
+// node is among the first of its zone. It needs no lease, since a surplus watcher
+// only costs one more watch.
 func (node *Node) watchWhileRanked(ctx context.Context) {
-	// Before the first exchange with peers every node would take itself for the
-	// first of its zone.
+	// Before the first synchronization with peers, every node would consider itself
+	// the first of its zone.
 	select {
 	case <-node.met:
 	case <-ctx.Done():
@@ -170,7 +174,8 @@
 	return len(zone)
 }
 
-// fetch takes the configuration of a peer that has a higher revision.
+// fetchConfiguration fetches and activates the configuration of a peer that has a
+// higher revision.
 func (node *Node) fetch(ctx context.Context, address string) {
 	request := wire.ConfigurationRequest{}
 	known := node.catalog.version.Load()
@@ -196,7 +201,7 @@
 	node.catalog.adopt(version)
 }
 
-// serveConfiguration answers a peer's fetch.
+// serveConfiguration handles a peer's fetch.
 func (node *Node) serveConfiguration(request wire.ConfigurationRequest) wire.ConfigurationAnswer {
 	version := node.catalog.version.Load()
 	if version == nil {
--- a/internal/node/catalog_test.go
+++ b/internal/node/active_config_test.go
@@ -22,7 +22,7 @@
 	made := &catalog{log: zerolog.Nop(), metrics: metrics.New()}
 	order := []string{}
 	made.prepare = func(snapshot *configuration.Snapshot) {
-		require.NotEqual(t, snapshot, made.snapshot.Load(), "nobody sees it yet")
+		require.NotEqual(t, snapshot, made.snapshot.Load(), "the snapshot is not visible yet")
 		order = append(order, "prepare")
 	}
 	made.adopted = func(snapshot *configuration.Snapshot) {
@@ -36,7 +36,7 @@
 func TestOnlyHigherRevisionsAreAdopted(t *testing.T) {
 	ignore := func(*configuration.Snapshot) {}
 	made := &catalog{log: zerolog.Nop(), metrics: metrics.New(), floor: 3, prepare: ignore, adopted: ignore}
-	require.False(t, made.adopt(versionOf(t, 2)), "below the floor")
+	require.False(t, made.adopt(versionOf(t, 2)), "below the minimum revision")
 	require.True(t, made.adopt(versionOf(t, 5)))
 	require.False(t, made.adopt(versionOf(t, 5)))
 	require.False(t, made.adopt(versionOf(t, 4)))
--- a/internal/node/handover.go
+++ b/internal/node/claim_recovery.go
@@ -13,7 +13,8 @@
 
 const recoveryInterval = 500 * time.Millisecond
 
-// holderState is what this node's holder needs next.
+// recoveryState is a snapshot of what the recovery of this node's claim holder
+// depends on.
 type holderState struct {
 	roster     []string
 	previous   []string
@@ -34,8 +35,8 @@
 	}
 }
 
-// recoverClaims brings the holder up to date: from the holders before when the
-// roster has changed, and from the other holders after a start.
+// recoverClaims periodically brings the claim holder up to date: from the former
+// holders after a change of the roster, and from the other holders after a start.
 func (node *Node) recoverClaims(ctx context.Context) {
 	every(ctx, recoveryInterval, func() {
 		state := node.claims.state()
@@ -49,7 +50,7 @@
 	})
 }
 
-// askHolders asks for the claims of each address, this node's own included.
+// fetchClaims returns the claims of each address, which may include this node.
 func (node *Node) askHolders(ctx context.Context, addresses, roster []string) []wire.ClaimsAnswer {
 	request := wire.ClaimsRequest{Roster: claim.RosterName(roster)}
 	answers := make([]wire.ClaimsAnswer, len(addresses))
@@ -58,14 +59,14 @@
 			answers[index] = node.claims.records(request)
 			continue
 		}
-		// An unanswered call leaves the zero answer: nothing is known of it.
+		// A failed call leaves the zero answer, which counts as unknown.
 		answers[index], _ = call[wire.ClaimsAnswer](ctx, node, address, request)
 	}
 	return answers
 }
 
-// joinHolders takes over from the holders before, once all but one of them have
-// adopted the new roster.
+// takeOverClaims takes over the claims of the former holders once all but one of
+// them have adopted the new roster.
 func (node *Node) joinHolders(ctx context.Context, state holderState) {
 	records := []claim.Record{}
 	adopted, knowing := 0, 0
@@ -88,10 +89,11 @@
 		return
 	}
 	node.claims.holder.Join(boottime.Now(), records, knowing >= len(state.previous)-1)
-	node.log.Info().Int("claims", len(records)).Msg("claims taken over from the holders before")
+	node.log.Info().Int("claims", len(records)).Msg("claims taken over from the former holders")
 }
 
-// recoverOnce takes the claims of all other holders, if each is complete.
+// recoverFromHolders copies the claims of all other holders if each of them is
+// complete.
 func (node *Node) recoverOnce(ctx context.Context, state holderState) {
 	others := []string{}
 	for _, address := range state.roster {
@@ -116,9 +118,9 @@
 	node.log.Info().Int("claims", len(records)).Msg("claims recovered from the other holders")
 }
 
-// settleHolders ends a change of the holders once all of them but one have taken
-// over. The order issuer does it, since there is one at a time; a second one
-// would only lose the comparison.
+// completeHolderChange ends a change of holders once all new holders but one have
+// taken over. It runs on the order issuer, of which there is one at a time; a write
+// by a second one fails its comparison.
 func (node *Node) settleHolders(ctx context.Context) {
 	state := node.claims.state()
 	version := node.catalog.version.Load()
@@ -136,7 +138,7 @@
 	}
 	settled, err := node.catalog.store.SettleHolders(ctx, version, uuid.NewString())
 	if err != nil {
-		node.log.Warn().Err(err).Msg("the change of claim holders is not settled yet")
+		node.log.Warn().Err(err).Msg("change of claim holders not completed; retrying")
 		return
 	}
 	node.catalog.adopt(settled)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -19,13 +19,13 @@
 	concludeTimeout = time.Second
 )
 
-// claims drives this node's holder, and rounds on behalf of its callers.
+// claims holds this node's claim holder, which answers rounds of all nodes.
 type claims struct {
 	mutex  sync.Mutex
 	holder *claim.Holder
 	config claim.Config
 	roster []string
-	// previous are the holders before, while they hand over.
+	// previousHolders lists the former holders during a change of holders.
 	previous []string
 }
 
@@ -34,8 +34,8 @@
 	return &claims{holder: claim.NewHolder(config, now), config: config}
 }
 
-// configure follows a new snapshot. When the roster has changed, nothing is
-// granted until the holders before have handed over.
+// configure applies a new snapshot. After a change of the roster, nothing is
+// granted until the claims of the former holders have been taken over.
 func (claims *claims) configure(declared configuration.Claims, now time.Time) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
@@ -47,8 +47,8 @@
 	changed := claim.RosterName(claims.roster) != claim.RosterName(declared.Holders)
 	switch {
 	case len(declared.Previous) == 0 && changed && !first:
-		// This node has missed the whole change: it knows nothing of what the new
-		// holders granted.
+		// This node has missed the whole change and does not know the claims that the
+		// new holders have granted.
 		claims.holder.Restart(now)
 		claims.holder.Settle(now)
 	case len(declared.Previous) == 0:
@@ -69,8 +69,8 @@
 	return claims.config, claims.roster
 }
 
-// answer is this node's word as a holder. An asker with another roster gets an
-// abstention, so that two rosters never decide side by side.
+// answer returns this node's vote on a claim. A requester with another roster gets
+// an abstention, so that two rosters never decide concurrently.
 func (claims *claims) answer(request wire.ClaimRequest) wire.ClaimAnswer {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
@@ -108,8 +108,8 @@
 	claims.holder.Restart(now)
 }
 
-// Claimed is a key that this node's caller owns. Exactly one of its methods is
-// called once the request is over.
+// ClaimHandle is a claim on a key that a request of this node holds. If the outcome
+// of the request is known, exactly one of its methods is called.
 type Claimed struct {
 	node    *Node
 	key     claim.Key
@@ -117,7 +117,7 @@
 	holders []string
 }
 
-// Claim makes sure that no other request with the key runs.
+// Claim claims an idempotency key, so that no other request with the key runs.
 func (node *Node) Claim(ctx context.Context, tenant, value string) (*Claimed, error) {
 	config, roster := node.claims.current()
 	if len(roster) == 0 {
@@ -140,7 +140,7 @@
 			outcome = failure.Ran
 		}
 		return nil, failure.New(failure.KindDuplicate, "a request with this idempotency key was accepted before",
-			"look at the outcome of the first send; a new request needs a new key").WithOutcome(outcome)
+			"check the outcome of the first request; a new request needs a new key").WithOutcome(outcome)
 	default:
 		claimed.Release()
 		return nil, failure.New(failure.KindClaimUnavailable, "too few claim holders answered",
@@ -148,7 +148,7 @@
 	}
 }
 
-// holderAnswer pairs an answer with who gave it.
+// holderAnswer is an answer and the holder that gave it.
 type holderAnswer struct {
 	holder string
 	answer claim.Answer
@@ -186,10 +186,10 @@
 	return decision, round.Status()
 }
 
-// Complete says that the request ran.
+// Complete reports that the request has run.
 func (claimed *Claimed) Complete() { claimed.conclude(claim.Completed) }
 
-// Release says that the request was not sent and never will be.
+// Release reports that the request was not sent and will not be sent.
 func (claimed *Claimed) Release() { claimed.conclude(claim.Released) }
 
 func (claimed *Claimed) conclude(status claim.Status) {
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -25,27 +25,27 @@
 
 const (
 	bytesPerToken = 4
-	// probesAtOnce bounds the back ends asked directly when none is known to be
-	// ready, as right after a restart of the whole fleet.
+	// maxConcurrentProbes bounds the backends probed directly when none is known to
+	// be ready, for example after a restart of the whole fleet.
 	probesAtOnce   = 4
 	probeTimeout   = 300 * time.Millisecond
 	noEndpointWait = time.Second
 	placeInterval  = 50 * time.Millisecond
 )
 
-// Completion is one request for a model.
+// Completion describes one request for a model.
 type Completion struct {
 	Tenant  *configuration.Tenant
 	Class   *configuration.Class
 	Path    string
 	Body    []byte
 	Request *engineapi.CompletionRequest
-	// Emitted returns the text passed on so far, for a continuation.
+	// EmittedText returns the text forwarded so far, for a continuation.
 	Emitted func() string
 	Sink    dispatch.Sink
 }
 
-// placement is the state of placing one completion; it implements
+// placement holds the placement state of one completion. It implements
 // dispatch.Placer.
 type placement struct {
 	node       *Node
@@ -54,21 +54,21 @@
 	model      string
 	adapter    string
 
-	// salt and chain belong to the version that the last placement was for.
+	// salt and chain belong to the model version of the last placement.
 	version string
 	salt    string
 	chain   []prefix.Hash
-	// importBlocks is how much the chosen engine shall import.
+	// importBlocks is the number of blocks that the selected engine should import.
 	importBlocks int
-	// pools are those through which the last placement looked.
+	// pools lists the pools that the last placement considered.
 	pools []*configuration.Pool
 }
 
-// errNoModel is the answer for a model that does not exist, or that the tenant
-// does not reach: callers must not be able to tell these apart.
+// errModelNotFound is returned both for a model that does not exist and for one that
+// the tenant may not use, since callers must not be able to tell these apart.
 var errNoModel = failure.New(failure.KindNotFound, "the model does not exist", "use a model that GET /v1/models lists")
 
-// Complete serves one request for a model.
+// Complete executes one request for a model.
 func (node *Node) Complete(ctx context.Context, completion *Completion) error {
 	model, adapter, _ := strings.Cut(completion.Request.Model, ":")
 	place := &placement{node: node, completion: completion, prompt: completion.Request.PromptText(), model: model, adapter: adapter}
@@ -117,8 +117,9 @@
 	return completion.Class.Priority
 }
 
-// Place implements dispatch.Placer. Where waiting can help it waits, by the
-// configuration in force at each moment, as long as the class may queue.
+// Place implements dispatch.Placer. While no engine is available but one may become
+// so, it retries with the active configuration until the queue timeout of the job
+// class.
 func (place *placement) Place(ctx context.Context, excluded []string) (dispatch.Target, *failure.Failure) {
 	ctx, cancel := context.WithTimeout(ctx, place.completion.Class.QueueTimeout)
 	defer cancel()
@@ -132,7 +133,7 @@
 		}
 		if ctx.Err() != nil || !place.willPass(reason) {
 			return dispatch.Target{}, failure.New(failure.KindNoEndpoint, "no engine can take the request now ("+string(reason)+")",
-				"send it again after the time given").WithRetryAfter(noEndpointWait)
+				"retry after the given delay").WithRetryAfter(noEndpointWait)
 		}
 		select {
 		case <-time.After(placeInterval):
@@ -141,7 +142,7 @@
 	}
 }
 
-// once tries to place the request by the configuration in force now.
+// tryPlace makes one attempt to place the request with the active configuration.
 func (place *placement) once(ctx context.Context, excluded []string) (*dispatch.Target, routing.Reason, *failure.Failure) {
 	snapshot := place.node.catalog.snapshot.Load()
 	model, found := snapshot.Model(place.model)
@@ -150,8 +151,8 @@
 		return nil, "", errNoModel
 	}
 	if place.completion.Emitted() != "" && model.Version != place.version {
-		// Text of two versions in one answer would be neither's.
-		return nil, "", failure.New(failure.KindStreamBroken, "the model's version changed while the answer was written", "send the request again").
+		// A response must not mix the text of two model versions.
+		return nil, "", failure.New(failure.KindStreamBroken, "the model's version changed during the response", "send the request again").
 			WithRetryAfter(noEndpointWait)
 	}
 	place.pools = pools
@@ -162,15 +163,15 @@
 		target, reason = place.choose(ctx, snapshot, model, excluded)
 	}
 	if target == nil && reason == routing.ReasonExcluded {
-		// All were tried; one of them may have recovered, such as an engine that
-		// had merely restarted.
+		// All engines were tried; one of them may have recovered, such as an engine
+		// that had only restarted.
 		target, reason = place.choose(ctx, snapshot, model, nil)
 	}
 	return target, reason, nil
 }
 
-// willPass reports whether waiting can help: engines are full, or one is loading
-// the model.
+// mayRecover reports whether waiting may help: engines are full, or one of them is
+// loading weights.
 func (place *placement) willPass(reason routing.Reason) bool {
 	if reason == routing.ReasonFull {
 		return true
@@ -198,7 +199,7 @@
 	}
 }
 
-// scratch is the memory of one decision, used again by later ones.
+// schedulingBuffer holds the buffers of one scheduling decision, for reuse.
 type scratch struct {
 	scheduler  *routing.Scheduler
 	candidates []routing.Candidate
@@ -206,8 +207,8 @@
 
 var scratches = sync.Pool{New: func() any { return &scratch{scheduler: routing.NewScheduler()} }}
 
-// choose decides on an engine by what this node knows, and counts the request as
-// sent to it.
+// selectEngine selects an engine by this node's view of the fleet and counts the
+// request as in flight on it.
 func (place *placement) choose(ctx context.Context, snapshot *configuration.Snapshot, model *configuration.Model, excluded []string) (*dispatch.Target, routing.Reason) {
 	node := place.node
 	now := boottime.Now()
@@ -236,8 +237,8 @@
 	return &dispatch.Target{Endpoint: chosen.Endpoint, Address: chosen.Address, Epoch: chosen.Epoch, Weights: model.Version}, routing.Accepted
 }
 
-// request describes the prompt to the scheduler. The pools of one model are taken
-// to be alike, and the first one's figures stand for all.
+// schedulingRequest describes the prompt to the scheduler. The pools of one model
+// are assumed to be alike, so the parameters of the first one are used for all.
 func (place *placement) request(weights configuration.Routing) *routing.Request {
 	pool := place.pools[0]
 	request := &routing.Request{
@@ -255,7 +256,8 @@
 	return request
 }
 
-// storeName names the kept-KV store among the index's holders, or "".
+// storeName returns the name of the prefix store in the index, or "" if the pool has
+// none.
 func (place *placement) storeName() string {
 	if store := place.pools[0].KeptCache; store != nil {
 		return store.Name
@@ -270,7 +272,7 @@
 	return routing.AffinityKey(place.chain, depths, place.storeName())
 }
 
-// Ended implements dispatch.Placer.
+// ReportResult implements dispatch.Placer.
 func (place *placement) Ended(target dispatch.Target, failed bool) {
 	place.node.ended(target.Endpoint, failed)
 }
@@ -284,15 +286,15 @@
 	node.table.End(endpoint, failed, boottime.Now())
 }
 
-// Alive implements dispatch.Placer.
+// IncarnationContext implements dispatch.Placer.
 func (place *placement) Alive(target dispatch.Target) context.Context {
 	return place.node.table.Alive(target.Endpoint)
 }
 
-// Stale implements dispatch.Placer: it asks the engine itself, and tells the
-// fleet what it finds. When a zone is lost, the engines' readers are lost with
-// them; those who meet the dead engines then tell the others. A reader that does
-// get through contradicts.
+// ReportStale implements dispatch.Placer. It probes the engine and publishes the
+// result to the fleet. When a zone fails, the observers of its engines fail with
+// them, so the nodes that encounter dead engines have to report them. An observer
+// that still reaches its engine corrects a wrong report.
 func (place *placement) Stale(target dispatch.Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -300,7 +302,7 @@
 	place.node.observe(target.Endpoint, endpoint.Observation{Answered: err == nil, Status: status})
 }
 
-// probeUnknown asks a few engines that were never seen for their state.
+// probeUnknown queries the status of a few engines that have no observed state.
 func (node *Node) probeUnknown(ctx context.Context, pools []*configuration.Pool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -323,8 +325,8 @@
 	done.Wait()
 }
 
-// body builds the engine's request: the caller's own with the fields that the
-// fleet sets. Unknown fields pass through.
+// body builds the engine's request: the caller's request with the fields that nodes
+// set. Unknown fields are forwarded unchanged.
 func (place *placement) body(continueAt int) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	decoder := json.NewDecoder(bytes.NewReader(place.completion.Body))
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -18,16 +18,17 @@
 
 const endpointItemPrefix = "endpoint/"
 
-// gossip drives the membership machine.
+// gossip drives the membership state machine.
 type gossip struct {
 	mutex     sync.Mutex
 	machine   *membership.Machine
 	datagrams *peer.Datagrams[membership.Message]
 	changed   func(membership.Change)
 	metrics   *metrics.Set
-	// ticked is when the machine last ticked, with its steady reading; nil before that.
+	// lastTick is the time of the machine's last tick on the boot-time clock; nil
+	// before the first one.
 	ticked atomic.Pointer[time.Time]
-	// live caches the addresses of usable nodes.
+	// liveMembers caches the members that are neither dead nor draining.
 	live atomic.Pointer[[]membership.Member]
 }
 
@@ -36,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A process that starts later at the address has a higher incarnation.
+	// A process started later on the same address gets a higher incarnation.
 	self := membership.Member{Address: address, Zone: zone, Incarnation: uint64(time.Now().UnixMilli())}
 	random := rand.New(rand.NewPCG(self.Incarnation, rand.Uint64()))
 	created := &gossip{
@@ -48,7 +49,7 @@
 	return created, nil
 }
 
-// run ticks and receives until the context ends.
+// run ticks the machine and receives messages until the context ends.
 func (gossip *gossip) run(ctx context.Context) {
 	go gossip.datagrams.Receive(func(message membership.Message) {
 		gossip.do(func(machine *membership.Machine) membership.Output { return machine.Receive(boottime.Now(), message) })
@@ -67,8 +68,8 @@
 	}
 }
 
-// paused reports whether this process stood still for so long that others may
-// have declared it dead, and has not noticed yet.
+// paused reports whether this process was suspended for so long that peers may have
+// declared it dead, and has not processed a tick since.
 func (gossip *gossip) paused() bool {
 	ticked := gossip.ticked.Load()
 	return ticked == nil || boottime.Since(*ticked) > membership.DefaultConfig.PauseLimit
@@ -83,7 +84,7 @@
 	gossip.mutex.Unlock()
 	for _, message := range output.Messages {
 		gossip.metrics.DatagramsSent.Inc()
-		// Loss is what the protocol is made for.
+		// The protocol tolerates the loss of datagrams.
 		_ = gossip.datagrams.Send(message.To, message)
 	}
 	for _, change := range output.Changes {
@@ -91,7 +92,8 @@
 	}
 }
 
-// refresh must be called with the lock held.
+// updateLive updates the cached members and the member metrics. The caller must
+// hold the mutex.
 func (gossip *gossip) refresh() {
 	live := []membership.Member{}
 	counts := map[membership.Status]int{}
@@ -107,10 +109,10 @@
 	}
 }
 
-// members lists the nodes that take work, this one included.
+// members returns the nodes that accept work, including this one.
 func (gossip *gossip) members() []membership.Member { return *gossip.live.Load() }
 
-// addresses lists their addresses.
+// addresses returns the addresses of the nodes that accept work.
 func (gossip *gossip) addresses() []string {
 	members := gossip.members()
 	addresses := make([]string, len(members))
@@ -120,14 +122,15 @@
 	return addresses
 }
 
-// view returns what this node says of itself, and the digest of its view.
+// selfAndDigest returns this node's own member entry and the digest of its
+// membership view.
 func (gossip *gossip) view() (membership.Member, uint64) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	return gossip.machine.Self(), gossip.machine.Digest()
 }
 
-// all lists every known member and item.
+// membersAndItems returns all known members and items.
 func (gossip *gossip) all() ([]membership.Member, []membership.Item) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
--- a/internal/node/hot.go
+++ b/internal/node/hot_prefixes.go
@@ -15,17 +15,17 @@
 	hotDecay    = 10 * time.Second
 )
 
-// HotPrefix is a first block that many requests share.
+// HotPrefix is a first prompt block that many requests share.
 type HotPrefix struct {
-	// Prefix is the hash of the first block; it says nothing of its text.
+	// Prefix is the hash of the first block, which does not reveal its text.
 	Prefix string
 	Tenant string
 	Model  string
-	// Requests is a count that halves every ten seconds.
+	// Requests is a request count with a half-life of ten seconds.
 	Requests float64
 }
 
-// hotCounter counts first blocks in bounded memory.
+// hotPrefixCounter counts first blocks in bounded memory.
 type hotCounter struct {
 	mutex   sync.Mutex
 	counts  map[prefix.Hash]*HotPrefix
--- a/internal/node/home.go
+++ b/internal/node/index_partition.go
@@ -13,22 +13,23 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// lookupTimeout is what a placement waits for a home before it goes without.
+// lookupTimeout bounds the wait of a placement for a lookup on another node. After
+// it, the placement proceeds without prefix information.
 const lookupTimeout = 20 * time.Millisecond
 
-// stream of updates from one reader about one endpoint.
+// updateStream is the position in the updates of one observer about one endpoint.
 type updateStream struct {
 	reader   string
 	sequence uint64
 }
 
-// loadReport is an engine's load and when this node heard of it.
+// loadReport is an engine's load and the time at which it was received.
 type loadReport struct {
 	load engineapi.Load
 	at   time.Time
 }
 
-// home keeps this node's part of the index.
+// indexPartition holds this node's partition of the prefix index.
 type home struct {
 	mutex   sync.Mutex
 	index   *prefixindex.Index
@@ -40,8 +41,8 @@
 	return &home{index: prefixindex.New(), streams: map[string]updateStream{}, loads: map[string]loadReport{}}
 }
 
-// apply takes an update. One that does not follow on from the last is refused,
-// unless it starts afresh.
+// apply applies an update. An update that does not continue the last one is rejected
+// with a request for a full update, unless it is one.
 func (home *home) apply(update wire.IndexUpdate, now time.Time) wire.IndexAnswer {
 	home.mutex.Lock()
 	defer home.mutex.Unlock()
@@ -57,7 +58,8 @@
 	return wire.IndexAnswer{}
 }
 
-// lookup lists the deepest holders of a chain first.
+// lookup returns at most limit holders of a chain, preferring those that hold most
+// blocks.
 func (home *home) lookup(chain []prefix.Hash, now time.Time, limit int) wire.LookupAnswer {
 	home.mutex.Lock()
 	defer home.mutex.Unlock()
@@ -74,14 +76,14 @@
 	return answer
 }
 
-// depths lists all holders of a chain.
+// depths returns all holders of a chain.
 func (home *home) depths(chain []prefix.Hash) []prefixindex.Depth {
 	home.mutex.Lock()
 	defer home.mutex.Unlock()
 	return home.index.Lookup(nil, chain)
 }
 
-// reset forgets everything, as after a pause.
+// reset discards the index, for example after a pause of the process.
 func (home *home) reset() {
 	home.mutex.Lock()
 	defer home.mutex.Unlock()
@@ -95,11 +97,11 @@
 	return home.index.Len()
 }
 
-// replicated reports whether every node keeps the whole index.
+// indexReplicated reports whether every node holds the whole index.
 func (node *Node) replicated(nodes int) bool { return nodes <= node.settings.ReplicateUpTo }
 
-// lookup asks who holds the chain. The fallback without an answer is an empty
-// one: the request then goes where rendezvous sends it.
+// lookupPrefix returns the holders of the chain. If the owner of the partition does
+// not respond, it returns none, and rendezvous hashing decides the placement.
 func (node *Node) lookup(ctx context.Context, chain []prefix.Hash) []prefixindex.Depth {
 	if len(chain) == 0 {
 		return nil
@@ -121,7 +123,7 @@
 	return depths
 }
 
-// ask looks anchors up at their home.
+// queryPartition looks up anchors at the node that owns their partition.
 func (node *Node) ask(ctx context.Context, owner string, request wire.LookupRequest) wire.LookupAnswer {
 	if owner == node.settings.PeerAddress {
 		return node.serveLookup(request)
@@ -136,12 +138,12 @@
 	return answer
 }
 
-// serveLookup answers for the chains whose home is here.
+// serveLookup handles a lookup in this node's partition.
 func (node *Node) serveLookup(request wire.LookupRequest) wire.LookupAnswer {
 	return node.home.lookup(request.Chain, boottime.Now(), wire.MaximumHoldings)
 }
 
-// applyUpdate takes a reader's update for this node's part of the index.
+// applyUpdate applies an observer's update to this node's partition.
 func (node *Node) applyUpdate(update wire.IndexUpdate) wire.IndexAnswer {
 	now := boottime.Now()
 	node.table.Report(update.Update.Holder.Endpoint, update.Load, now)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -9,14 +9,15 @@
 	"github.com/cloverrail/cloverrail/internal/failure"
 )
 
-// lifecycle counts open requests and refuses new ones when the node must.
+// lifecycle counts open requests and rejects new ones while the node is stopping or
+// suspended.
 type lifecycle struct {
 	mutex     sync.Mutex
 	requests  int
 	unready   bool
 	refusing  bool
 	suspended bool
-	// refusedAt is when the last request came to the stopping node.
+	// lastRejectedAt is when the stopping node last rejected a request.
 	refusedAt time.Time
 	idle      chan struct{}
 }
@@ -25,7 +26,7 @@
 	return &lifecycle{idle: make(chan struct{})}
 }
 
-// enter admits a request; the returned function ends it.
+// begin admits a request; the returned function ends it.
 func (lifecycle *lifecycle) enter() (func(), *failure.Failure) {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
@@ -87,14 +88,14 @@
 	return lifecycle.requests
 }
 
-// quiet reports whether no request has come to the stopping node for a while.
+// idleFor reports whether the stopping node has rejected no request for a duration.
 func (lifecycle *lifecycle) quiet(while time.Duration) bool {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
 	return boottime.Since(lifecycle.refusedAt) >= while
 }
 
-// wait returns when no request is open, or with the context.
+// awaitIdle returns when no request is open or the context ends.
 func (lifecycle *lifecycle) wait(ctx context.Context) {
 	select {
 	case <-lifecycle.idle:
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -16,16 +16,16 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// takeTimeout is what a request waits for its tenant's ledger.
+// issueTimeout bounds the wait of a request for its tenant's token issuer.
 const takeTimeout = 50 * time.Millisecond
 
-// resizeInterval is how often the places follow the back ends.
+// resizeInterval is how often the slot pools are resized to the usable backends.
 const resizeInterval = 250 * time.Millisecond
 
-// forgetAfter is how long a tenant's use is remembered without calls.
+// tenantIdleExpiry is how long the state of a tenant without requests is kept.
 const forgetAfter = 5 * time.Minute
 
-// limits keeps what this node knows of its tenants' use.
+// limits holds the rate and concurrency limits enforced by this node.
 type limits struct {
 	mutex   sync.Mutex
 	ledger  *admission.Ledger
@@ -33,8 +33,8 @@
 	places  map[string]*admission.Places
 }
 
-// tenantUse is one tenant's use of this node. It exists only for tenants that
-// have called here.
+// tenantState is one tenant's usage of this node. It exists only for tenants that
+// have sent requests to this node.
 type tenantUse struct {
 	mutex   sync.Mutex
 	share   *admission.Share
@@ -59,8 +59,8 @@
 	return use
 }
 
-// forget drops tenants that have not called for a while: a node must not keep
-// state for every tenant that ever came by.
+// evictIdle removes idle tenants, so that a node does not keep state for every
+// tenant that ever sent a request.
 func (limits *limits) forget(now time.Time) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// configure sizes the places of each pool.
+// configure creates or resizes the slot pool of each pool.
 func (limits *limits) configure(snapshot *configuration.Snapshot) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -92,8 +92,9 @@
 	limits.places = kept
 }
 
-// resizePlaces follows the back ends that come and go, so that requests queue
-// here rather than being refused for want of an engine, and forgets idle tenants.
+// resizeSlotPools periodically sizes the slot pools by the usable backends, so that
+// requests queue on the node rather than fail for lack of an engine. It also evicts
+// idle tenants.
 func (node *Node) resizePlaces(ctx context.Context) {
 	every(ctx, resizeInterval, func() {
 		node.limits.forget(boottime.Now())
@@ -109,8 +110,8 @@
 	})
 }
 
-// poolPlaces finds the places of a pool; a pool that was just taken out of the
-// declaration has none.
+// slotPool returns the slot pool of a pool, if any: a pool that was just removed
+// from the declaration has none.
 func (limits *limits) poolPlaces(pool string) (*admission.Places, bool) {
 	limits.mutex.Lock()
 	defer limits.mutex.Unlock()
@@ -124,12 +125,12 @@
 	return limits.ledger.Take(boottime.Now(), tenant, limit, want)
 }
 
-// Admit checks the tenant's rate and open streams. The returned function ends
-// the request's count.
+// AdmitTenant checks the tenant's request rate and open streams. The returned
+// function ends the request.
 func (node *Node) Admit(ctx context.Context, tenant *configuration.Tenant) (done func(), err error) {
 	use := node.limits.tenant(tenant.Name)
 	if !node.spend(ctx, tenant, use) {
-		return nil, failure.New(failure.KindRateLimited, "the tenant's request rate is used up", "send fewer requests, or ask for a higher limit").
+		return nil, failure.New(failure.KindRateLimited, "the tenant's request rate is exceeded", "send fewer requests, or ask for a higher limit").
 			WithRetryAfter(max(time.Second, time.Duration(float64(time.Second)/tenant.Limits.RequestsPerSecond)))
 	}
 	use.mutex.Lock()
@@ -148,8 +149,9 @@
 	}), nil
 }
 
-// spend uses a token of the tenant's rate, asking its ledger for more when none
-// is at hand. A ledger that does not answer leaves this node's even part.
+// spendToken spends a token of the tenant's rate and requests more from its token
+// issuer when none is left. If the issuer does not respond, the node is limited to
+// its even share of the rate.
 func (node *Node) spend(ctx context.Context, tenant *configuration.Tenant, use *tenantUse) bool {
 	use.mutex.Lock()
 	if use.share.Spend(boottime.Now()) {
@@ -188,9 +190,10 @@
 	return answer.Tokens, err
 }
 
-// serveTake answers for the tenants whose ledger is here. A node that has no configuration yet,
-// or an older one, does not know the limit. Were it to give no tokens, the asker would refuse
-// what is within the limit; so it grants its own even part.
+// serveTokenRequest issues tokens for the tenants whose issuer is this node. With no
+// configuration yet, or an older one, it does not know the limit and says so: on
+// zero tokens the requester would reject requests within the limit, while on Unknown
+// it falls back to its even share.
 func (node *Node) serveTake(request wire.TakeRequest) wire.TakeAnswer {
 	snapshot := node.catalog.snapshot.Load()
 	if snapshot == nil {
@@ -204,5 +207,5 @@
 	return wire.TakeAnswer{Tokens: node.limits.take(tenant.Name, limit, request.Want)}
 }
 
-// errUnknownTenant says that the node of a tenant's ledger does not know the tenant yet.
-var errUnknownTenant = errors.New("the tenant's ledger does not know it yet; wait until all nodes have the configuration")
+// errUnknownTenant reports that a tenant's token issuer does not know the tenant yet.
+var errUnknownTenant = errors.New("the tenant's token issuer does not know the tenant yet; wait until all nodes have the configuration")
--- a/internal/node/machinelist.go
+++ b/internal/node/machinelist.go
@@ -9,19 +9,20 @@
 	"github.com/cloverrail/cloverrail/internal/endpoint"
 )
 
-// machine is one entry of the platform's list.
+// machine is one entry of the platform's machine list.
 type machine struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	// Epoch is the incarnation that the entry speaks of.
+	// Epoch is the incarnation that the entry refers to.
 	Epoch string `json:"epoch"`
 }
 
-// machineLeaving is the state of machines that will go.
+// machineLeaving is the state of machines that will be shut down.
 const machineLeaving = "leaving"
 
-// followMachineList takes leaving machines from the platform's list. The list
-// lags: it may speak of an incarnation that is gone.
+// pollMachineList periodically marks the backends that the platform's machine list
+// reports as leaving. The list is delayed and may refer to an incarnation that has
+// already been replaced.
 func (node *Node) followMachineList(ctx context.Context) {
 	if node.settings.MachineListAddress == "" {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires the parts of one server process together. Decisions live
-// in the packages it calls; it owns the sockets, goroutines and clocks.
+// Package node connects the components of one server process. It owns the sockets,
+// goroutines and clocks; decisions are made by the packages that it calls.
 package node
 
 import (
@@ -36,13 +36,15 @@
 	resyncInterval    = 10 * time.Second
 	startInterval     = 100 * time.Millisecond
 	ownReadAfter      = 5 * time.Second
-	// expectedLife is how long a prompt sent to an engine counts as held there
-	// without the engine's word; events are at most that late.
+	// expectedTTL is how long the blocks of a prompt sent to an engine are assumed to
+	// be cached there before a cache event confirms it; events are delayed by at most
+	// that.
 	expectedLife = time.Second
-	// callTimeout bounds calls between nodes that set no bound of their own.
+	// callTimeout bounds calls between nodes that set no shorter timeout.
 	callTimeout = time.Second
-	// lingerTime is how long a refusing node stays reachable after the last request
-	// came, for callers that did not see its readiness; lingerLimit bounds it.
+	// lingerTime is how long a stopping node stays reachable after the last request
+	// that it rejected, for callers that missed its readiness change; lingerLimit
+	// bounds the total.
 	lingerTime  = 500 * time.Millisecond
 	lingerLimit = 5 * time.Second
 	lingerPoll  = 20 * time.Millisecond
@@ -72,7 +74,7 @@
 	lifecycle  *lifecycle
 	tasks      chan func(context.Context)
 	unwatched  bool
-	// met is closed once peers were asked for the first time.
+	// synced is closed after the first synchronization with peers.
 	met        chan struct{}
 	acquainted func()
 
@@ -80,16 +82,16 @@
 	creds *peer.Credentials
 }
 
-// Options are what tests and the laboratory may replace.
+// Options holds overrides for tests and simulations.
 type Options struct {
-	// Blocked cuts the path to a peer.
+	// Blocked reports whether the connection to a peer is blocked.
 	Blocked func(address string) bool
-	// NoReaders leaves the back ends unwatched, as when their readers have died
-	// with them.
+	// NoReaders disables the observers of backends, as if they had failed together
+	// with the backends.
 	NoReaders bool
 }
 
-// New opens the sockets of a node. Its settings must have passed their check.
+// New creates a node and opens its peer sockets. The settings must be validated.
 func New(given settings.Settings, log zerolog.Logger, options Options) (*Node, error) {
 	credentials, err := peer.NewCredentials(given.Key())
 	if err != nil {
@@ -129,13 +131,13 @@
 	}
 	node.gossip.changed = node.memberChanged
 	if node.peers, err = net.Listen("tcp", given.PeerAddress); err != nil {
-		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
+		return nil, errors.Annotate(err, "cannot listen on the peer address; choose a free port")
 	}
 	return node, nil
 }
 
-// configure prepares the parts that follow the configuration for a new snapshot,
-// before requests see it: a pool must have its places by then.
+// configure updates the components that depend on the configuration before requests
+// see a new snapshot, since the slot pools must exist by then.
 func (node *Node) configure(snapshot *configuration.Snapshot) {
 	node.table.Configure(snapshot)
 	node.limits.configure(snapshot)
@@ -144,13 +146,13 @@
 	node.takeItems(items)
 }
 
-// announce tells the fleet of a new revision, once peers can fetch it here.
+// announce publishes a new revision to the fleet once peers can fetch it here.
 func (node *Node) announce(snapshot *configuration.Snapshot) {
 	node.gossip.do(func(machine *membership.Machine) membership.Output { return machine.SetRevision(snapshot.Revision) })
 }
 
-// Run serves until the context ends, then stops as planned: it announces that
-// it drains, refuses new requests, and waits for open ones.
+// Run serves until the context ends and then shuts down gracefully: it announces
+// that it is draining, rejects new requests and waits for open ones.
 func (node *Node) Run(ctx context.Context, callers, operators http.Handler) error {
 	callerServer, err := node.listen(node.settings.CallerAddress, callers)
 	if err != nil {
@@ -160,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	// Peers are served, and gossip goes on, until the last request has ended.
+	// Peers are served and gossip continues until the last request has ended.
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	go peer.Serve(running, node.peers, node.creds, node.handle)
@@ -180,8 +182,8 @@
 	node.gossip.do((*membership.Machine).Leave)
 	_ = operatorServer.Close()
 	_ = callerServer.Close()
-	// Closed here and not by the context, so that the addresses are free when Run
-	// returns: a node that starts again binds them at once.
+	// The sockets are closed here rather than on cancellation, so that the addresses
+	// are free when Run returns: a restarted node binds them immediately.
 	stop()
 	_ = node.peers.Close()
 	node.gossip.datagrams.Close()
@@ -192,14 +194,14 @@
 func (node *Node) listen(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "address %s cannot be used; choose a free port", address)
+		return nil, errors.Annotatef(err, "cannot listen on %s; choose a free port", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-// perform runs tasks that membership changes call for, off the gossip's path.
+// runTasks runs the tasks that membership changes enqueue, outside the gossip loop.
 func (node *Node) perform(ctx context.Context) {
 	for {
 		select {
@@ -215,7 +217,7 @@
 	select {
 	case node.tasks <- task:
 	default:
-		// The periodic synchronization makes up for a dropped task.
+		// The periodic synchronization compensates for a dropped task.
 	}
 }
 
@@ -237,9 +239,10 @@
 	}
 }
 
-// resumed follows a pause of this process. What it owned may be another's now.
+// recoverFromPause discards state after a pause of this process, since other nodes
+// may have taken over what it owned.
 func (node *Node) resumed() {
-	node.log.Warn().Msg("this process was paused; it starts over as a member")
+	node.log.Warn().Msg("process was paused; rejoining the fleet")
 	node.lifecycle.suspend()
 	node.claims.restart(boottime.Now())
 	node.home.reset()
@@ -257,7 +260,7 @@
 	}
 }
 
-// handle answers a peer's call.
+// handle handles a peer's call.
 func (node *Node) handle(_ context.Context, request any) (any, error) {
 	switch request := request.(type) {
 	case wire.SyncRequest:
--- a/internal/node/home_test.go
+++ b/internal/node/node_test.go
@@ -18,14 +18,14 @@
 func TestHomeAsksForAllAfterAMissedUpdate(t *testing.T) {
 	home := newHome()
 	now := time.Unix(0, 0)
-	require.True(t, home.apply(updateOf(5, false, 1), now).NeedAll, "a new home knows nothing of what came before")
+	require.True(t, home.apply(updateOf(5, false, 1), now).NeedAll, "a new partition lacks earlier updates")
 	require.False(t, home.apply(updateOf(6, true, 1), now).NeedAll)
 	require.False(t, home.apply(updateOf(7, false, 2), now).NeedAll)
-	require.True(t, home.apply(updateOf(9, false, 3), now).NeedAll, "update 8 was missed")
+	require.True(t, home.apply(updateOf(9, false, 3), now).NeedAll, "update 8 is missing")
 	require.Equal(t, 2, home.blocks())
 	other := updateOf(8, false, 4)
 	other.Reader = "another reader"
-	require.True(t, home.apply(other, now).NeedAll, "a new reader starts afresh")
+	require.True(t, home.apply(other, now).NeedAll, "a new observer must send a full update first")
 }
 
 func TestPeerWithoutAnswersRestsAndIsTriedAgain(t *testing.T) {
@@ -38,7 +38,7 @@
 	require.False(t, health.allows("p", now))
 	later := now.Add(peerBreaker.Rest)
 	require.True(t, health.allows("p", later))
-	require.False(t, health.allows("p", later), "one call probes")
+	require.False(t, health.allows("p", later), "only one call is sent as a probe")
 	health.note("p", false, later)
 	require.True(t, health.allows("p", later))
 }
@@ -60,7 +60,7 @@
 	lifecycle.stopReadiness()
 	require.False(t, lifecycle.ready())
 	later, refusal := lifecycle.enter()
-	require.Nil(t, refusal, "an unready node still serves who comes")
+	require.Nil(t, refusal, "an unready node still accepts requests")
 	lifecycle.refuse()
 	_, refusal = lifecycle.enter()
 	require.NotNil(t, refusal)
--- a/internal/node/observe.go
+++ b/internal/node/observer.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// reopenInterval is the pause between streams of one engine, probeInterval
+	// reopenDelay is the delay between event streams of one engine, probeInterval
 	// that between probes of one plain server.
 	reopenInterval = 100 * time.Millisecond
 	probeInterval  = 500 * time.Millisecond
-	// silenceLimit is how long a stream of events may be silent.
+	// streamSilenceTimeout is how long an event stream may be silent.
 	silenceLimit = 3 * engineapi.HeartbeatInterval
-	// missesUntilDown streams or probes in a row without an answer mark a back end
-	// as down.
+	// downThreshold is the number of consecutive failed streams or probes after
+	// which a backend is marked as down.
 	missesUntilDown = 2
-	// publishTimeout bounds the wait for a node that keeps part of the index; one
-	// that missed an update asks for all later.
+	// publishTimeout bounds the wait for a node that holds part of the index. A node
+	// that missed an update requests a full update later.
 	publishTimeout = 300 * time.Millisecond
-	// renewalsAtOnce bounds the nodes that get all of their part in one update.
+	// maxFullUpdatesPerRound bounds the nodes that get a full update in one round.
 	renewalsAtOnce      = 16
 	machineListInterval = time.Second
 )
 
-// observer follows one back end for the fleet.
+// observer tracks the state of one backend on behalf of the fleet.
 type observer struct {
 	node    *Node
 	backend configuration.Backend
-	// events says that the back end publishes cache events.
+	// events is set if the backend publishes cache events.
 	events bool
 	reader *eventreader.Reader
 	misses int
-	// status is what the back end last said of itself.
+	// status is the last status that the backend reported.
 	status *engineapi.Status
-	// fleet is the nodes as last seen; renew are those that get all of their part.
+	// nodes lists the live nodes of the last round; pendingFullUpdates holds those
+	// that need a full update.
 	fleet []string
 	renew map[string]bool
-	// sequences counts the updates sent to each node.
+	// sequences holds the number of updates sent to each node.
 	sequences map[string]uint64
 }
 
-// observeOwned runs an observer for each back end that this node owns. One node
-// owns each back end: the first by rendezvous, in the back end's zone if there
-// are nodes in it.
+// observeOwned runs an observer for each backend that this node owns; see
+// ownership.
 func (node *Node) observeOwned(ctx context.Context) {
 	running := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
@@ -83,7 +83,8 @@
 	}
 }
 
-// observed is a back end to observe; events says that it publishes cache events.
+// observedBackend is a backend to observe; events is set if it publishes cache
+// events.
 type observed struct {
 	backend configuration.Backend
 	events  bool
@@ -115,8 +116,8 @@
 	return &observer{node: node, backend: item.backend, events: item.events, sequences: map[string]uint64{}, renew: map[string]bool{}, reader: eventreader.New(item.backend.Name)}
 }
 
-// ownership deals back ends out to nodes: by rendezvous, among the nodes of the
-// back end's zone if there are any.
+// ownership assigns each backend to one node by rendezvous hashing, among the nodes
+// of the backend's zone if there are any.
 type ownership struct {
 	all    []string
 	byZone map[string][]string
@@ -144,7 +145,7 @@
 		pause := probeInterval
 		if observer.events {
 			pause = reopenInterval
-			// The end of a stream, and a stream that did not open, count as a miss.
+			// A stream that ended or failed to open counts as a miss.
 			_ = observer.node.engines.Follow(ctx, observer.backend.Address, observer.reader.After(), silenceLimit, func(batch engineapi.EventBatch) bool {
 				return observer.take(ctx, batch)
 			})
@@ -160,7 +161,7 @@
 	}
 }
 
-// take follows one batch and reports whether the stream shall go on.
+// handleBatch processes one batch and reports whether to continue the stream.
 func (observer *observer) take(ctx context.Context, batch engineapi.EventBatch) bool {
 	node := observer.node
 	observer.note(ctx, batch.Status, true)
@@ -175,12 +176,12 @@
 		}
 	}
 	observer.publish(ctx, change, batch.Load)
-	// After a snapshot the stream is opened again behind it.
+	// After a snapshot the stream is reopened at the snapshot's sequence number.
 	return !reset
 }
 
-// note spreads what an observation changed. A nil status says that nothing but
-// the load has changed.
+// recordObservation publishes the changes found by an observation. A nil status
+// means that only the load has changed.
 func (observer *observer) note(ctx context.Context, status *engineapi.Status, answered bool) {
 	if ctx.Err() != nil {
 		return
@@ -201,7 +202,8 @@
 	}
 }
 
-// contradict returns the last status when others hold the back end for down.
+// correctDownRecord returns the last status if the record wrongly marks the backend
+// as down, as reported by other nodes, and nil otherwise.
 func (observer *observer) contradict() *engineapi.Status {
 	known, found := observer.node.table.Record(observer.backend.Name)
 	if !found || !known.Down {
@@ -210,7 +212,7 @@
 	return observer.status
 }
 
-// observe merges one look at a back end and tells the fleet what is new.
+// observe merges an observation of a backend and publishes any change.
 func (node *Node) observe(name string, observation endpoint.Observation) {
 	known, found := node.table.Record(name)
 	if !found {
@@ -223,13 +225,13 @@
 
 func (node *Node) spread(known, next endpoint.Record) {
 	node.log.Info().Str("backend", next.Name).Bool("down", next.Down).Bool("leaving", next.Leaving).
-		Bool("restarted", known.Epoch != "" && known.Epoch != next.Epoch).Msg("back end changed")
+		Bool("restarted", known.Epoch != "" && known.Epoch != next.Epoch).Msg("backend state changed")
 	node.table.Merge(next)
 	node.gossip.offer(next)
 }
 
-// probe asks a back end for its account. A plain service need not have one: any
-// answer shows that it lives.
+// probe queries the status of a backend. A plain server need not implement the
+// status endpoint: any response shows that it is up.
 func (node *Node) probe(ctx context.Context, backend configuration.Backend) (engineapi.Status, bool) {
 	status, err := node.engines.Status(ctx, backend.Address)
 	var rejected *engineapi.ErrRejected
--- a/internal/node/orders.go
+++ b/internal/node/order_issuer.go
@@ -23,15 +23,15 @@
 	firstOrderWait = 500 * time.Millisecond
 )
 
-// issueOrders campaigns for the issuer's lease while this node is among the
-// first of the fleet, and issues orders while it holds it.
+// issueOrders campaigns for the issuer lease while this node is among the first of
+// the fleet, and issues orders while it holds the lease.
 func (node *Node) issueOrders(ctx context.Context) {
 	for ctx.Err() == nil {
 		if node.rankInFleet() < campaignNodes {
 			if lease, token, since, won := node.campaign(ctx); won {
-				node.log.Info().Int64("token", token).Msg("this node issues orders")
+				node.log.Info().Int64("token", token).Msg("acquired the order issuer lease")
 				node.holdIssuer(ctx, lease, token, since)
-				node.log.Info().Int64("token", token).Msg("this node issues orders no longer")
+				node.log.Info().Int64("token", token).Msg("no longer the order issuer")
 			}
 		}
 		select {
@@ -50,8 +50,8 @@
 	return campaignNodes
 }
 
-// campaign tries to become the issuer. The revision at which the key was made
-// is the fencing token: it only ever grows.
+// campaign tries to become the issuer. The revision at which the key was created is
+// the fencing token; it only increases.
 func (node *Node) campaign(ctx context.Context) (lease, token int64, since time.Time, won bool) {
 	service := node.catalog.service
 	held, err := service.Get(ctx, issuerKey)
@@ -66,15 +66,15 @@
 	put := kvservice.Put(issuerKey, []byte(node.settings.PeerAddress))
 	put.RequestPut.Lease = lease
 	answer, err := service.Commit(ctx, kvservice.TxnRequest{Compare: []kvservice.Compare{kvservice.IfAbsent(issuerKey)}, Success: []kvservice.RequestOp{put}})
-	// A lost answer is taken for a defeat; the lease then lapses by itself.
+	// A lost response is treated as a lost campaign; the lease then expires.
 	return lease, answer.Header.Revision, since, err == nil && answer.Succeeded
 }
 
-// holdIssuer issues orders until the lease is lost.
+// runIssuer issues orders until the lease is lost.
 func (node *Node) holdIssuer(ctx context.Context, lease, token int64, since time.Time) {
 	issuer := order.NewIssuer()
 	issuer.Hold(token, since.Add(issuerLease))
-	// What the engines do is known to this node only after its first look.
+	// The state of the engines is known only after the first observations.
 	start := boottime.Now().Add(firstOrderWait)
 	renewed := since
 	settled := since
@@ -116,7 +116,7 @@
 			bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 			defer cancel()
 			if err := node.engines.Order(bounded, address, send.Order); err != nil {
-				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("order not taken")
+				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("order not accepted")
 			}
 		}()
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,9 +11,8 @@
 	"github.com/cloverrail/cloverrail/internal/retry"
 )
 
-// peerHealth rests peers that do not answer, so that a request does not wait for
-// the time-out of every home that died with its zone until membership has found
-// out.
+// peerHealth holds a circuit breaker per peer, so that requests do not wait for the
+// timeout of each peer of a failed zone until membership detects the failure.
 type peerHealth struct {
 	mutex    sync.Mutex
 	breakers map[string]*retry.Breaker
@@ -50,15 +49,15 @@
 	breaker.Failed(peerBreaker, now)
 }
 
-// peerBreaker rests a peer after two calls in a row without an answer.
+// peerBreaker opens after two consecutive failed calls.
 var peerBreaker = retry.BreakerConfig{Failures: 2, Rest: 300 * time.Millisecond, MaximumRest: 3 * time.Second}
 
-// call sends a request to a peer and checks the type of its answer. A peer that
-// lately did not answer fails at once.
+// callPeer sends a request to a peer and checks the type of the response. It fails
+// immediately while the peer's circuit breaker is open.
 func call[Answer any](ctx context.Context, node *Node, address string, request any) (Answer, error) {
 	var none Answer
 	if !node.peerHealth.allows(address, boottime.Now()) {
-		return none, errors.Errorf("%s did not answer lately", address)
+		return none, errors.Errorf("circuit breaker open for peer %s", address)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -69,7 +68,7 @@
 	}
 	answer, ok := received.(Answer)
 	if !ok {
-		return none, errors.Errorf("unexpected answer %T from %s; run the same version on all nodes", received, address)
+		return none, errors.Errorf("unexpected response %T from %s; run the same version on all nodes", received, address)
 	}
 	return answer, nil
 }
--- a/internal/node/every.go
+++ b/internal/node/periodic.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// every does something at an interval, the first time after one, until the
-// context ends.
+// runPeriodically runs task once per interval, for the first time after one
+// interval, until the context ends.
 func every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/node/publish.go
+++ b/internal/node/publish.go
@@ -12,9 +12,8 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// publish sends a change to the nodes that keep it, each its own part. When the
-// fleet has changed, so has the part of many nodes: they get all of theirs again,
-// a few at a time.
+// publish sends each node its part of a change. After a change of the fleet, the
+// parts of many nodes differ, so all nodes get a full update, a few per round.
 func (observer *observer) publish(ctx context.Context, change eventreader.Change, load engineapi.Load) {
 	addresses := observer.node.gossip.addresses()
 	observer.noteFleet(addresses)
@@ -38,7 +37,7 @@
 	for address, update := range updates {
 		done.Go(func() {
 			if answer, err := observer.send(ctx, address, update); err == nil && answer.NeedAll {
-				// The receiver missed something, or has just started.
+				// The receiver missed an update or has just started.
 				mutex.Lock()
 				defer mutex.Unlock()
 				observer.renew[address] = true
@@ -48,7 +47,7 @@
 	done.Wait()
 }
 
-// noteFleet marks all nodes for renewal when the fleet is another than before.
+// trackNodes schedules a full update for all nodes if the fleet has changed.
 func (observer *observer) noteFleet(addresses []string) {
 	if slices.Equal(addresses, observer.fleet) {
 		return
@@ -60,7 +59,8 @@
 	}
 }
 
-// takeRenewals picks the nodes that get all of their part with this update.
+// takePendingFullUpdates removes and returns the nodes that get a full update in this
+// round.
 func (observer *observer) takeRenewals() []string {
 	picked := []string{}
 	for address := range observer.renew {
@@ -84,9 +84,9 @@
 	return call[wire.IndexAnswer](ctx, observer.node, address, update)
 }
 
-// split deals a change out to the nodes that keep it. In a small fleet each
-// node gets all of it, and a load report even when nothing changed; in a large
-// one each chain's anchors go to its home.
+// splitByOwner splits a change by receiving node. In a small fleet each node gets the
+// whole change, and a load report even if nothing changed; in a large one the anchors
+// of each chain go to the node that owns its partition.
 func split(change eventreader.Change, addresses []string, replicated bool) map[string]eventreader.Change {
 	parts := map[string]eventreader.Change{}
 	if replicated {
@@ -113,7 +113,7 @@
 	return parts
 }
 
-// deal gives each chain's anchors to its home.
+// anchorsByOwner groups the anchors of each chain by the node that owns them.
 func deal(blocks []eventreader.Placed, addresses []string) map[string][]eventreader.Placed {
 	dealt := map[string][]eventreader.Placed{}
 	for _, item := range blocks {
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -19,21 +19,21 @@
 	"github.com/cloverrail/cloverrail/internal/routing"
 )
 
-// Snapshot returns the configuration in force, or nil.
+// Snapshot returns the active configuration, or nil.
 func (node *Node) Snapshot() *configuration.Snapshot { return node.catalog.snapshot.Load() }
 
 // Metrics returns the node's metrics.
 func (node *Node) Metrics() *metrics.Set { return node.metrics }
 
-// Registry returns the registry behind /metrics.
+// Registry returns the Prometheus registry served at /metrics.
 func (node *Node) Registry() *prometheus.Registry { return node.metrics.Registry }
 
-// MaximumBody is the largest request body accepted, in bytes.
+// MaximumBody returns the maximum size of a request body in bytes.
 func (node *Node) MaximumBody() int64 { return node.settings.MaximumBody }
 
-// Enter admits a request to the node. Without a configuration, or after a pause
-// that the node has not yet made up for, it refuses rather than serve by rules
-// that may be out of force.
+// BeginRequest admits a request to the node. It rejects requests while there is no
+// configuration, or after a pause until the node has caught up, since its
+// configuration may be outdated.
 func (node *Node) Enter() (*configuration.Snapshot, func(), error) {
 	snapshot := node.Snapshot()
 	if snapshot == nil {
@@ -50,16 +50,16 @@
 	return snapshot, done, nil
 }
 
-// Ready reports whether the node takes new work.
+// Ready reports whether the node accepts new work.
 func (node *Node) Ready() bool {
 	return node.Snapshot() != nil && node.lifecycle.ready() && !node.gossip.paused()
 }
 
-// Draining reports whether the node is about to stop, so that connections should
-// not be kept.
+// Draining reports whether the node is shutting down, so that connections should not
+// be kept alive.
 func (node *Node) Draining() bool { return node.lifecycle.draining() }
 
-// chooser picks servers of a plain service.
+// chooser selects servers of a plain service.
 type chooser struct {
 	node    *Node
 	service string
@@ -76,20 +76,20 @@
 	decision := scheduler.Schedule(&routing.Request{}, candidates)
 	if decision.Index < 0 {
 		return plain.Server{}, failure.New(failure.KindNoEndpoint, "no server can take the request now ("+string(decision.Refused)+")",
-			"send it again after the time given").WithRetryAfter(noEndpointWait)
+			"retry after the given delay").WithRetryAfter(noEndpointWait)
 	}
 	chosen := candidates[decision.Index]
 	chooser.node.table.Begin(chosen.Endpoint, 0, now)
 	return plain.Server{Name: chosen.Endpoint, Address: chosen.Address}, nil
 }
 
-// Ended implements plain.Chooser.
+// ReportResult implements plain.Chooser.
 func (chooser *chooser) Ended(server plain.Server, failed bool) {
 	chooser.node.ended(server.Name, failed)
 }
 
-// Forward sends a request to a plain service. A request of a route that is not
-// repeatable is claimed first when it carries an idempotency key.
+// Forward sends a request to a plain service. If its route is not repeatable and it
+// has an idempotency key, the key is claimed first.
 func (node *Node) Forward(ctx context.Context, tenant *configuration.Tenant, service *configuration.Service, request plain.Request, idempotencyKey string) (*plain.Answer, error) {
 	choose := &chooser{node: node, service: service.Name, key: prefix.KeyOf(tenant.Name + idempotencyKey + request.Path)}
 	budget := retry.All{node.limits.tenant(tenant.Name).budget, node.retries}
@@ -111,32 +111,32 @@
 	return answer, err
 }
 
-// Store gives operator commands access to the declaration.
+// Store returns the configuration store, for operator commands.
 func (node *Node) Store() *configstore.Store { return node.catalog.store }
 
-// Version returns the version in force, or nil.
+// Version returns the active configuration version, or nil.
 func (node *Node) Version() *configstore.Version { return node.catalog.version.Load() }
 
-// Adopt puts a version that was just accepted in force here at once.
+// Activate activates a version that was just accepted, without waiting for a watch.
 func (node *Node) Adopt(version *configstore.Version) { node.catalog.adopt(version) }
 
-// Members lists all known nodes.
+// Members returns all known nodes.
 func (node *Node) Members() []membership.Member {
 	members, _ := node.gossip.all()
 	return members
 }
 
-// Endpoints lists all back ends.
+// Endpoints returns the state of all backends.
 func (node *Node) Endpoints() []endpoint.View { return node.table.Views() }
 
-// IndexBlocks is the number of cached blocks that this node knows of.
+// IndexBlocks returns the number of cached blocks in this node's index.
 func (node *Node) IndexBlocks() int { return node.home.blocks() }
 
-// HotPrefixes lists the prefixes asked for most.
+// HotPrefixes returns the most requested prefixes.
 func (node *Node) HotPrefixes(limit int) []HotPrefix { return node.hot.top(limit) }
 
-// UsableEngines counts the engines of a pool that this node knows and that take
-// new work.
+// UsableEngines returns the number of engines of a pool with observed state that
+// accept new work.
 func (node *Node) UsableEngines(pool string) int {
 	count := 0
 	for _, candidate := range node.table.Candidates(nil, pool, "", "", boottime.Now()) {
--- a/internal/node/stop.go
+++ b/internal/node/shutdown.go
@@ -10,7 +10,7 @@
 )
 
 func (node *Node) drain(server *http.Server) {
-	node.log.Info().Int("open", node.lifecycle.open()).Msg("node drains")
+	node.log.Info().Int("open", node.lifecycle.open()).Msg("node draining")
 	node.lifecycle.stopReadiness()
 	node.gossip.do((*membership.Machine).Drain)
 	time.Sleep(node.settings.DrainNotice)
@@ -22,14 +22,14 @@
 		node.log.Warn().Int("cut", left).Msg("the drain deadline passed with requests open; declare a longer drainDeadline")
 	}
 	node.linger()
-	// Let answers that are written leave their connections.
+	// Flush responses that are already written.
 	flushing, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
 	_ = server.Shutdown(flushing)
 }
 
-// linger refuses in words those that still come: at the moment when the sockets
-// close there should be nobody on the way.
+// linger keeps rejecting late requests with a response, so that no request is on its
+// way when the sockets close.
 func (node *Node) linger() {
 	time.Sleep(lingerTime)
 	for limit := boottime.Now().Add(lingerLimit); !node.lifecycle.quiet(lingerTime) && boottime.Now().Before(limit); {
--- a/internal/node/stop_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,10 +15,10 @@
 	"github.com/cloverrail/cloverrail/internal/settings"
 )
 
-// TestAStoppedNodeHasGivenItsAddressesBack binds each address as soon as Run has
-// returned, as a node that starts again does.
+// TestRunReleasesAddressesOnReturn binds each address as soon as Run has returned, as
+// a restarted node does.
 func TestAStoppedNodeHasGivenItsAddressesBack(t *testing.T) {
-	// With one processor what is left to other goroutines is left for long.
+	// With one processor, cleanup left to other goroutines is delayed.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 5 {
 		given := settings.Defaults()
--- a/internal/node/join.go
+++ b/internal/node/sync.go
@@ -9,8 +9,8 @@
 	"github.com/cloverrail/cloverrail/internal/wire"
 )
 
-// join looks for the fleet at once, and again from time to time, so that what
-// gossip lost is made up for.
+// syncPeriodically synchronizes with peers at once and then periodically, which
+// repairs state that gossip has lost.
 func (node *Node) join(ctx context.Context) {
 	started := boottime.Now()
 	for ctx.Err() == nil {
@@ -18,8 +18,9 @@
 		node.acquainted()
 		pause := resyncInterval
 		if node.catalog.revision() == 0 {
-			// The zone's watchers read the service. The others hear from them; only
-			// if that takes long does each try for itself.
+			// The zone's watchers read the key-value service, and all other nodes get
+			// the configuration from them. A node reads it itself only if that takes
+			// longer than directReadDelay.
 			if boottime.Since(started) > ownReadAfter {
 				_ = node.catalog.read(ctx)
 			}
@@ -32,7 +33,8 @@
 	}
 }
 
-// synchronize exchanges views with a few peers and takes the highest revision.
+// synchronize exchanges membership views with a few peers and fetches a higher
+// configuration revision from them.
 func (node *Node) synchronize(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -63,9 +65,9 @@
 	}
 }
 
-// syncPartners are all seeds while nobody else is known, and after that one seed
-// and one member, drawn at random: seeds heal partitions, members repair what
-// gossip lost even when all seeds are gone.
+// syncPeers returns all seeds while no other member is known, and otherwise one
+// random seed and one random member. Seeds heal network partitions; members repair
+// lost gossip even if all seeds are gone.
 func (node *Node) syncPartners() []string {
 	seeds := node.others(node.settings.Seeds)
 	members := node.others(node.gossip.addresses())
@@ -79,7 +81,7 @@
 	return partners
 }
 
-// others returns the addresses but this node's, in random order.
+// otherAddresses returns the addresses other than this node's in random order.
 func (node *Node) others(addresses []string) []string {
 	others := []string{}
 	for _, index := range rand.Perm(len(addresses)) {
