--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -68,7 +68,7 @@
 
 func drain(declaration *configuration.Declaration, name string) error {
 	if !declaration.HasBackend(name) {
-		return unknown("backend", name, "show engines")
+		return unknown("declared backend", name, "show engines")
 	}
 	for _, drained := range declaration.Draining {
 		if drained == name {
