--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -16,9 +16,10 @@
 	"github.com/cloverrail/cloverrail/internal/metrics"
 )
 
-// completion writes a completion to the caller, as a stream or as one object. All
-// chunks get the same ID and creation time, so that a response continued on another
-// engine is indistinguishable from one that was not.
+// completion writes the response of one completion request, as a stream or as one
+// object. All
+// chunks get the same ID and creation time, so that a response that was continued
+// on another engine is indistinguishable from one that was not.
 type answer struct {
 	served  *call
 	message *engineapi.CompletionRequest
