--- a/cmd/cloverrail-lab/demo.go
+++ b/cmd/cloverrail-lab/demo.go
@@ -100,7 +100,7 @@
 		return errors.Trace(err)
 	}
 	if summary.Incorrect > 0 || summary.Broken > 0 {
-		return errors.New("some answers were wrong or broken; run again with --verbose")
+		return errors.New("some responses were wrong or incomplete; run again with --verbose")
 	}
 	return nil
 }
--- a/cmd/cloverrail-lab/soak.go
+++ b/cmd/cloverrail-lab/soak.go
@@ -44,7 +44,7 @@
 	if folder == "" {
 		dir, err := os.MkdirTemp("", "cloverrail-soak-")
 		if err != nil {
-			return errors.Annotate(err, "name a folder with --folder")
+			return errors.Annotate(err, "cannot create a temporary folder; choose one with --folder")
 		}
 		folder = dir
 	}
@@ -74,7 +74,7 @@
 		violated = printVerdicts(verdicts) || violated
 	}
 	if violated {
-		return errors.New("a promise was broken; keep the seed in platform/standin/soak/seeds.txt with its cause")
+		return errors.New("a guarantee was violated; add the seed and its cause to platform/standin/soak/seeds.txt")
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 		{"git", "worktree", "remove", "--force", tree},
 	} {
 		if output, err := exec.CommandContext(ctx, step[0], step[1:]...).CombinedOutput(); err != nil {
-			return "", errors.Annotatef(err, "commit %s cannot be built, by %v; name one of this repository's: %s", commit, step, output)
+			return "", errors.Annotatef(err, "commit %s cannot be built, as %v failed; choose a commit of this repository: %s", commit, step, output)
 		}
 	}
 	return program, nil
--- a/cmd/cloverrail/attempt_timeout_test.go
+++ b/cmd/cloverrail/attempt_timeout_test.go
@@ -31,7 +31,7 @@
 				require.NoError(t, got.err)
 				require.Equal(t, http.StatusOK, got.status, got.body)
 			}
-			require.Len(t, slow.Arrivals(), 2, "each was sent once")
+			require.Len(t, slow.Arrivals(), 2, "each request was sent once")
 
 			other := newInstance(c, "i-2", succeeds(c))
 			fixture.addServer(other)
--- a/cmd/cloverrail/fixture_test.go
+++ b/cmd/cloverrail/fixture_test.go
@@ -60,7 +60,7 @@
 	fixture.isolated.Store(isolated)
 }
 
-var errIsolated = errors.New("the node is cut off")
+var errIsolated = errors.New("the node is isolated")
 
 // RoundTrip calls other nodes, unless the node is isolated.
 func (fixture *fixture) RoundTrip(request *http.Request) (*http.Response, error) {
--- a/cmd/cloverrail/limit_test.go
+++ b/cmd/cloverrail/limit_test.go
@@ -77,7 +77,7 @@
 		}
 		wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		if err != nil || wait <= 0 {
-			t.Errorf("a refusal names no time to come back: %q", got.header.Get("Retry-After"))
+			t.Errorf("a rejection has no valid Retry-After: %q", got.header.Get("Retry-After"))
 		}
 	default:
 		t.Errorf("status %d, %v: %s", got.status, got.err, got.body)
@@ -113,12 +113,12 @@
 			limited.AdvertiseLimit("1")
 			named := time.Now()
 			counts := generateLoad(t, c, propagationTime+loadDuration, fixture)
-			require.Zero(t, counts.rejected, "the other server has room: %q", counts.reasons)
+			require.Zero(t, counts.rejected, "the other server has capacity: %q", counts.reasons)
 			requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 		})
 	}
 	for _, perSecond := range []float64{0, 0.2, 1, 5, 40} {
-		t.Run(fmt.Sprintf("no other server is left, %v a second", perSecond), func(t *testing.T) {
+		t.Run(fmt.Sprintf("no other server is available, %v a second", perSecond), func(t *testing.T) {
 			t.Parallel()
 			limited := plainServer("i-1", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(limited)
@@ -128,13 +128,13 @@
 			settled := time.Now()
 			took := time.Now()
 			counts := generateLoad(t, nonIdempotent, loadDuration, fixture)
-			require.Less(t, time.Since(took), loadDuration+time.Second, "what cannot be served is refused at once")
+			require.Less(t, time.Since(took), loadDuration+time.Second, "requests that cannot be served are rejected immediately")
 			require.NotZero(t, counts.rejected)
 			requireWithinLimit(t, limited, perSecond, named.Add(propagationTime))
 			requireLimitUsed(t, limited, perSecond, settled)
 		})
 	}
-	t.Run("what fails elsewhere", func(t *testing.T) {
+	t.Run("requests that fail elsewhere", func(t *testing.T) {
 		t.Parallel()
 		limited, failing := plainServer("i-1", succeeds(idempotent)), plainServer("i-2", standin.Respond(http.StatusInternalServerError, "no"))
 		fixture := newFixture(t).serve(limited, failing)
@@ -158,8 +158,8 @@
 		}
 		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 	})
-	t.Run("while cached parts are followed and weights are ordered", ownCallsCountAgainstLimit)
-	t.Run("while the store is dark", func(t *testing.T) {
+	t.Run("while caches are watched and weights are ordered", ownCallsCountAgainstLimit)
+	t.Run("while the store is down", func(t *testing.T) {
 		t.Parallel()
 		limited, other := plainServer("i-1", succeeds(nonIdempotent)), plainServer("i-2", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(limited, other)
@@ -173,9 +173,9 @@
 		requireWithinLimit(t, limited, 1, named.Add(propagationTime))
 		require.NotZero(t, other.PeakReceived(limitWindow, named.Add(propagationTime)), "routes without keys are served meanwhile")
 	})
-	t.Run("it falls, rises and ends", limitChangesAreFollowed)
+	t.Run("the limit decreases, increases and ends", limitChangesAreFollowed)
 	for _, absurd := range []string{"-1", "NaN", "few", "1,2", "1e300"} {
-		t.Run(fmt.Sprintf("an absurd limit %q", absurd), func(t *testing.T) {
+		t.Run(fmt.Sprintf("an invalid limit %q", absurd), func(t *testing.T) {
 			t.Parallel()
 			server := plainServer("i-1", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(server)
@@ -202,7 +202,7 @@
 	fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
 	counts := generateLoad(t, plainStream, loadDuration, fixture)
 	requireWithinLimit(t, limited, 1, named.Add(propagationTime))
-	require.Equal(t, int64(2), limited.Version(), "the weights are ordered all the same")
+	require.Equal(t, int64(2), limited.Version(), "weights are still ordered")
 	require.NotZero(t, counts.served)
 }
 
@@ -235,7 +235,7 @@
 }
 
 func TestFleetRespectsServerRateLimit(t *testing.T) {
-	t.Run("others have room", func(t *testing.T) {
+	t.Run("other servers have capacity", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 3)
 		limited := fleet.machines[0].Incarnations()[0]
@@ -262,7 +262,7 @@
 			}
 		}
 	})
-	t.Run("one node has all the requests", func(t *testing.T) {
+	t.Run("one node gets all requests", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
 		limited := fleet.machines[0].Incarnations()[0]
@@ -275,7 +275,7 @@
 		requireWithinLimit(t, limited, 4, named.Add(propagationTime))
 		requireLimitUsed(t, limited, 4, settled)
 	})
-	t.Run("a node starts, one ends and one is cut off", func(t *testing.T) {
+	t.Run("a node starts, one stops and one is isolated", func(t *testing.T) {
 		t.Parallel()
 		fleet := newFleet(t, 4, 1)
 		limited := fleet.machines[0].Incarnations()[0]
--- a/cmd/cloverrail/notice_test.go
+++ b/cmd/cloverrail/notice_test.go
@@ -102,7 +102,7 @@
 		require.Equal(fixture.t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(fixture.t, got.header.Get("Retry-After"))
 	}
-	require.Equal(fixture.t, before, len(server.Arrivals()), "a request reached a server after its word that it leaves")
+	require.Equal(fixture.t, before, len(server.Arrivals()), "a request reached a server after its draining notice")
 }
 
 func TestDrainingNoticeStopsNewRequests(t *testing.T) {
@@ -129,7 +129,7 @@
 			fixture.requireNoneReached(c, draining, true)
 		})
 	}
-	t.Run("no other server is left", func(t *testing.T) {
+	t.Run("no other server is available", func(t *testing.T) {
 		t.Parallel()
 		draining := plainServer("i-1", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(draining)
@@ -137,7 +137,7 @@
 		fixture.requestUntilReached(nonIdempotent, draining)
 		fixture.requireNoneReached(nonIdempotent, draining, false)
 	})
-	t.Run("by an answer that broke off", func(t *testing.T) {
+	t.Run("by a truncated response", func(t *testing.T) {
 		t.Parallel()
 		draining, other := engine("i-1", standin.StreamEvents(3, 1)), engine("i-2", succeeds(resumableStream))
 		fixture := newFixture(t).serve(draining, other)
@@ -145,7 +145,7 @@
 		fixture.requestUntilReached(resumableStream, draining)
 		fixture.requireNoneReached(resumableStream, draining, true)
 	})
-	t.Run("by a stream that still runs", func(t *testing.T) {
+	t.Run("by a stream in progress", func(t *testing.T) {
 		t.Parallel()
 		draining, other := engine("i-1", standin.StreamPaced(40, 50*time.Millisecond, "token")), engine("i-2", succeeds(resumableStream))
 		fixture := newFixture(t).serve(draining, other)
@@ -180,9 +180,9 @@
 		orders := draining.Orders()
 		fixture.store.Put("op/version/"+model, map[string]any{"model": model, "version": 2})
 		fixture.waitUntil(func() bool { return other.Version() == 2 })
-		require.Equal(t, orders, draining.Orders(), "a leaving server is not ordered")
+		require.Equal(t, orders, draining.Orders(), "a draining server gets no orders")
 	})
-	t.Run("by the word of another node", drainingNoticeReachesOtherNodes)
+	t.Run("by the notice of another node", drainingNoticeReachesOtherNodes)
 }
 
 // drainingNoticeReachesOtherNodes checks that a notice received by one node applies at all nodes.
@@ -236,7 +236,7 @@
 			fixture.requestUntilReached(c, overloaded)
 		})
 	}
-	t.Run("what fails elsewhere is not sent there", func(t *testing.T) {
+	t.Run("requests that fail elsewhere are not sent there", func(t *testing.T) {
 		t.Parallel()
 		overloaded, failing := plainServer("i-1", standin.RejectRetryAfter(seconds)), plainServer("i-2", standin.AbortConnection)
 		fixture := newFixture(t).serve(overloaded, failing)
@@ -246,7 +246,7 @@
 		}
 		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 	})
-	t.Run("no other server is left", func(t *testing.T) {
+	t.Run("no other server is available", func(t *testing.T) {
 		t.Parallel()
 		overloaded := plainServer("i-1", standin.RejectRetryAfter(seconds))
 		fixture := newFixture(t).serve(overloaded)
@@ -258,13 +258,13 @@
 			wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
 			left := rest - time.Since(overloaded.Arrivals()[0].At)
-			require.GreaterOrEqual(t, wait, left.Seconds()-0.1, "before that nobody can serve it")
-			require.Less(t, time.Since(sent), rest/2, "it is refused at once")
+			require.GreaterOrEqual(t, wait, left.Seconds()-0.1, "no server can serve it earlier")
+			require.Less(t, time.Since(sent), rest/2, "it is rejected immediately")
 		}
 		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 		require.Zero(t, overloaded.Runs())
 	})
-	t.Run("while the store is dark", func(t *testing.T) {
+	t.Run("while the store is down", func(t *testing.T) {
 		t.Parallel()
 		overloaded, other := plainServer("i-1", standin.RejectRetryAfter(seconds)), plainServer("i-2", succeeds(nonIdempotent))
 		fixture := newFixture(t).serve(overloaded, other)
@@ -278,9 +278,9 @@
 		}
 		require.LessOrEqual(t, arrivalsDuringBackoff(overloaded, rest), maxDuringBackoff)
 	})
-	t.Run("after it, without a herd", backoffEndsWithoutBurst)
+	t.Run("its end brings no burst", backoffEndsWithoutBurst)
 	for _, invalid := range []string{"-1", "NaN", "soon", "", "1e300"} {
-		t.Run(fmt.Sprintf("an absurd rest %q", invalid), func(t *testing.T) {
+		t.Run(fmt.Sprintf("an invalid Retry-After %q", invalid), func(t *testing.T) {
 			t.Parallel()
 			overloaded, other := plainServer("i-1", standin.RejectRetryAfter(invalid)), plainServer("i-2", succeeds(nonIdempotent))
 			fixture := newFixture(t).serve(overloaded, other)
@@ -331,7 +331,7 @@
 		}
 	}
 	require.False(t, first.Before(ended.Add(-50*time.Millisecond)))
-	require.LessOrEqual(t, concurrent, 2, "one request tries a server whose rest is over, before all that wait")
+	require.LessOrEqual(t, concurrent, 2, "a server is probed at the end of its backoff before it gets the waiting requests")
 	fixture.waitUntil(func() bool {
 		for _, got := range fixture.makeMany(nonIdempotent, 8) {
 			if got.status != http.StatusOK {
--- a/cmd/cloverrail/process.go
+++ b/cmd/cloverrail/process.go
@@ -199,19 +199,19 @@
 func (process *process) reload(file string) {
 	config, err := settings.ReadProxy(file)
 	if err != nil {
-		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
+		process.log.Error().Err(err).Msg("failed to reload settings; keeping the current ones")
 		return
 	}
 	level, err := zerolog.ParseLevel(config.LogLevel)
 	if err != nil {
-		process.log.Error().Err(err).Msg("the settings cannot be read again and stay as they are")
+		process.log.Error().Err(err).Msg("failed to reload settings; keeping the current ones")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
 	sameLogLevel := config
 	sameLogLevel.LogLevel = process.settings.LogLevel
 	changed := !reflect.DeepEqual(sameLogLevel, process.settings)
-	process.log.Info().Str("log_level", config.LogLevel).Bool("takes_a_restart", changed).Msg("settings were read again")
+	process.log.Info().Str("log_level", config.LogLevel).Bool("takes_a_restart", changed).Msg("settings reloaded")
 }
 
 // resize applies a new number of nodes in the fleet.
--- a/cmd/cloverrail/proxy.go
+++ b/cmd/cloverrail/proxy.go
@@ -51,7 +51,7 @@
 func serve(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "address %s cannot be used; choose a free port", address)
+		return nil, errors.Annotatef(err, "cannot listen on address %s; choose a free port", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(listener) }()
--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -57,7 +57,7 @@
 			for _, method := range []string{http.MethodPost, http.MethodGet} {
 				got := fixture.send(method, "/once/", "", nil)
 				require.Equal(t, http.StatusBadGateway, got.status)
-				require.Empty(t, got.header.Get("Retry-After"), "nothing is promised")
+				require.Empty(t, got.header.Get("Retry-After"), "it may have run, so no retry is suggested")
 				require.Empty(t, got.header.Get(standin.HeaderStamp))
 			}
 			require.Equal(t, 2, first.Runs()+second.Runs())
@@ -107,7 +107,7 @@
 		got := fixture.send(http.MethodPost, "/stream/", "prompt", setPromptHeaders)
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status)
-		require.Equal(t, eventText(6), got.body, "no event twice, none missing")
+		require.Equal(t, eventText(6), got.body, "no event is duplicated or missing")
 	}
 }
 
@@ -201,14 +201,14 @@
 			answered++
 		case http.StatusTooManyRequests:
 			require.NotEmpty(t, got.header.Get("Retry-After"))
-			require.Contains(t, got.body, "limit of 20 requests a second")
+			require.Contains(t, got.body, "the tenant is limited to 20 requests per second;")
 		default:
 			require.Fail(t, "another status", got.status)
 		}
 	}
 	require.Less(t, answered, 200)
-	require.Len(t, server.Arrivals(), answered, "what is refused does not reach a server")
-	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status, "other tenants are not concerned")
+	require.Len(t, server.Arrivals(), answered, "rejected requests do not reach a server")
+	require.Equal(t, http.StatusOK, fixture.send(http.MethodPost, "/once/", "", nil).status, "other tenants are not affected")
 }
 
 func TestInternalHeadersFromClientsAreDropped(t *testing.T) {
@@ -237,7 +237,7 @@
 		return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusServiceUnavailable
 	})
 	require.False(t, fixture.process.proxy.Ready(time.Now()))
-	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may exist by now")
+	require.Equal(t, http.StatusServiceUnavailable, fixture.send(http.MethodGet, "/none/", "", nil).status, "the route may have been declared since")
 	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/open/", "", nil).status)
 	fixture.store.SetFault(nil)
 	fixture.waitUntil(func() bool { return fixture.send(http.MethodGet, "/again/", "", nil).status == http.StatusOK })
@@ -250,7 +250,7 @@
 	fixture.store.Put(standin.KeyConfiguration, "not a document")
 	fixture.addServer(plainServer("i-2", standin.Respond(http.StatusOK, "done")))
 	fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 2 })
-	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last good declaration stays")
+	require.Equal(t, http.StatusOK, fixture.send(http.MethodGet, "/again/", "", nil).status, "the last valid declaration stays in force")
 }
 
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
@@ -378,6 +378,6 @@
 	fixture.store.ReleaseVersion(model, 2)
 	fixture.waitUntil(func() bool { return held() == 0 })
 	for _, arrival := range server.Arrivals() {
-		require.NotContains(t, arrival.Target, "/api/", "a question is no request")
+		require.NotContains(t, arrival.Target, "/api/", "calls of the node itself do not count as requests")
 	}
 }
--- a/cmd/cloverrail/quarantine_test.go
+++ b/cmd/cloverrail/quarantine_test.go
@@ -65,7 +65,7 @@
 		if quarantinedAt.IsZero() && len(f.crashTimes(body)) >= crashThreshold {
 			quarantinedAt = time.Now()
 		}
-		require.Less(f.t, attempt, 300, "the request never ended servers enough")
+		require.Less(f.t, attempt, 300, "the request never reached the crash threshold")
 		time.Sleep(100 * time.Millisecond)
 	}
 	return last, elapsed
@@ -83,7 +83,7 @@
 			late++
 		}
 	}
-	require.LessOrEqual(f.t, late, maxLateAttempts, "of %d servers that ended in all", len(begun))
+	require.LessOrEqual(f.t, late, maxLateAttempts, "of %d crashes in all", len(begun))
 }
 
 // requireRejected sends a body to a node repeatedly, and checks that at most maxLateAttempts reach a
@@ -192,7 +192,7 @@
 	}
 	stop()
 	callers.Wait()
-	require.Zero(t, falselyQuarantined.Load(), "held off, and harmless")
+	require.Zero(t, falselyQuarantined.Load(), "a harmless request was quarantined")
 	require.Zero(t, unserved.Load())
 	require.Greater(t, served.Load(), int64(50))
 }
@@ -232,7 +232,7 @@
 	f.requireQuarantined(crashingBody)
 	stop()
 	callers.Wait()
-	require.Zero(t, falselyQuarantined.Load(), "held off, and harmless")
+	require.Zero(t, falselyQuarantined.Load(), "a harmless request was quarantined")
 	require.NotZero(t, served.Load())
 }
 
@@ -365,7 +365,7 @@
 			f := newFleet(t, 3, 8)
 			last, elapsed := f.retryUntilQuarantined(kind, crashingBody, f.nodes)
 			f.requireQuarantined(crashingBody)
-			require.Equal(t, http.StatusServiceUnavailable, last.status, "not run, and it says so")
+			require.Equal(t, http.StatusServiceUnavailable, last.status, "rejected as not run")
 			require.NotEmpty(t, last.header.Get("Retry-After"))
 			require.Less(t, elapsed, time.Second)
 			others := sync.WaitGroup{}
--- a/cmd/cloverrail/restart_test.go
+++ b/cmd/cloverrail/restart_test.go
@@ -74,7 +74,7 @@
 			fixture.waitUntil(func() bool { return len(fixture.process.serverSet.Servers(time.Now())) == 2 })
 		})
 	}
-	t.Run("orders to a server that has forgotten those before", func(t *testing.T) {
+	t.Run("orders to a server that has lost its order count", func(t *testing.T) {
 		t.Parallel()
 		fixture := newFixture(t)
 		restartable := &restartableServer{fixture: fixture}
--- a/cmd/cloverrail/store_restore_test.go
+++ b/cmd/cloverrail/store_restore_test.go
@@ -90,16 +90,16 @@
 		_, come := n.listedServer("new-1")
 		return come && !gone
 	})
-	require.Less(t, time.Since(restoredAt), propagationTime, "all nodes follow the list again")
+	require.Less(t, time.Since(restoredAt), propagationTime, "all nodes have the current server list again")
 	fleet.requireKeysApplied(key, removed)
 	fleet.store.ReleaseVersion(model, 3)
 	named := time.Now()
 	fleet.waitUntil(loaded(3))
-	require.Less(t, time.Since(named), propagationTime+time.Second, "orders go out again, under a token that servers take")
+	require.Less(t, time.Since(named), propagationTime+time.Second, "orders are sent again, with a fencing token that servers accept")
 	fleet.store.Put(standin.KeyConfiguration, newDocument(4, key))
 	fleet.waitUntil(inForce(4))
 	for _, n := range fleet.nodes {
-		require.Equal(t, len(fleet.nodes), n.process.registry.Nodes(), "nobody is taken for lost whose registration the store has lost")
+		require.Equal(t, len(fleet.nodes), n.process.registry.Nodes(), "no node counts as dead because the store lost its registration")
 	}
 	fleet.waitUntil(func(*fixture) bool { return len(fleet.store.Keys(platform.PrefixNodes)) == len(fleet.nodes) })
 }
--- a/cmd/cloverrail/suspension_test.go
+++ b/cmd/cloverrail/suspension_test.go
@@ -38,7 +38,7 @@
 	got := fixture.send(http.MethodPost, "/once/", "turn", nil)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.Equal(t, 1, server.Runs())
-	require.False(t, fixture.process.proxy.Ready(boottime.Now()), "callers go to other nodes until it has read")
+	require.False(t, fixture.process.proxy.Ready(boottime.Now()), "clients go to other nodes until it has read the store")
 	fixture.store.SetFault(nil)
 	fixture.waitUntil(func() bool { return fixture.process.proxy.Ready(boottime.Now()) })
 	require.Equal(t, http.StatusUnauthorized, fixture.send(http.MethodPost, "/once/", "turn", nil).status)
@@ -57,6 +57,6 @@
 	}
 	got := fixture.send(http.MethodGet, "/again/", "", nil)
 	require.Equal(t, http.StatusBadGateway, got.status, "it may have run")
-	require.Equal(t, 1, first.Runs()+second.Runs(), "the caller's time is over")
-	require.False(t, fixture.process.quarantineLedger.Active(), "a connection that broke in a suspension says nothing of the server")
+	require.Equal(t, 1, first.Runs()+second.Runs(), "the client's deadline has passed")
+	require.False(t, fixture.process.quarantineLedger.Active(), "a connection that broke during a suspension is no sign of a crash")
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -145,6 +145,6 @@
 
 func TestOverloadingTenantBarelyAffectsOthers(t *testing.T) {
 	baseline, overloaded := p99Wait(1), p99Wait(10)
-	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its share", baseline, overloaded)
+	t.Logf("p99 of the others: %s alone, %s beside a tenant at ten times its rate", baseline, overloaded)
 	require.LessOrEqual(t, float64(overloaded), 1.1*float64(baseline))
 }
--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -59,7 +59,7 @@
 	case <-ctx.Done():
 	}
 	if pool.dequeue(id) {
-		return nil, pool.refusal(failure.KindQueueTimeout, "no place became free in time", 0)
+		return nil, pool.refusal(failure.KindQueueTimeout, "no slot became free before the queue timeout", 0)
 	}
 	// The request was granted a slot concurrently with the timeout.
 	<-admitted
@@ -78,7 +78,7 @@
 	ahead := pool.queue.Ahead(ticket.Tenant, ticket.Weight, ticket.Cost, ticket.Priority)
 	wait := time.Duration(float64(ahead+1) * pool.meanHoldTime / float64(max(1, pool.total)) * float64(time.Second))
 	if now.Add(wait).After(ticket.Until) {
-		return nil, 0, pool.refusal(failure.KindQueueFull, fmt.Sprintf("%d requests wait ahead", ahead), wait)
+		return nil, 0, pool.refusal(failure.KindQueueFull, fmt.Sprintf("%d requests are queued ahead", ahead), wait)
 	}
 	pool.nextID++
 	ticket.ID = pool.nextID
@@ -89,7 +89,7 @@
 }
 
 func (pool *SlotPool) refusal(kind failure.Kind, problem string, wait time.Duration) error {
-	return failure.New(kind, problem, "send it again after the time given").WithRetryAfter(max(wait, time.Second))
+	return failure.New(kind, problem, "retry after the given delay").WithRetryAfter(max(wait, time.Second))
 }
 
 func (pool *SlotPool) dequeue(id uint64) bool {
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -133,5 +133,5 @@
 			require.Nil(t, set.Begin(claim, begin))
 		})
 	}
-	require.Nil(t, NewSet().Begin(unconditionalPlacement("x"), begin), "it was forgotten")
+	require.Nil(t, NewSet().Begin(unconditionalPlacement("x"), begin), "unknown server")
 }
--- a/internal/backend/notice_test.go
+++ b/internal/backend/notice_test.go
@@ -15,7 +15,7 @@
 func TestDrainingStateSurvivesEntryRemoval(t *testing.T) {
 	set := newUniformSet(2, begin)
 	require.Equal(t, Notice{Leaving: true}, set.Notice("i-0", Notice{Leaving: true}, begin))
-	require.Equal(t, Notice{}, set.Notice("i-0", Notice{Leaving: true}, begin), "it is news once")
+	require.Equal(t, Notice{}, set.Notice("i-0", Notice{Leaving: true}, begin), "reported as new only once")
 	require.True(t, candidate(set, "i-0", begin).Leaving)
 	require.False(t, candidate(set, "i-1", begin).Leaving)
 	require.False(t, set.InService("i-0"))
@@ -23,7 +23,7 @@
 	later := begin.Add(2 * unlistedRetention)
 	set.Update([]Server{{Instance: "i-1", Service: "s"}}, later)
 	set.Update([]Server{{Instance: "i-0", Service: "s"}, {Instance: "i-1", Service: "s"}}, later)
-	require.True(t, candidate(set, "i-0", later).Leaving, "its entry was forgotten and written again")
+	require.True(t, candidate(set, "i-0", later).Leaving, "its entry expired and was written again")
 	for _, server := range set.Servers(later) {
 		require.Equal(t, server.Instance == "i-0", server.Draining)
 	}
@@ -34,12 +34,12 @@
 	first.Notice("i-0", Notice{Leaving: true}, begin)
 	require.Equal(t, []Work{{Server: ServerKey("i-0"), Suspects: drainingSuspects}}, first.Work(begin))
 	require.Equal(t, []string{"i-0"}, second.ApplyPeerWork(first.Work(begin), begin))
-	require.Empty(t, second.ApplyPeerWork(first.Work(begin), begin), "it is news once")
-	require.True(t, candidate(second, "i-0", begin.Add(time.Hour)).Leaving, "nobody takes it back")
-	require.Empty(t, second.Work(begin), "only who has heard it itself tells it")
+	require.Empty(t, second.ApplyPeerWork(first.Work(begin), begin), "reported as new only once")
+	require.True(t, candidate(second, "i-0", begin.Add(time.Hour)).Leaving, "draining is final")
+	require.Empty(t, second.Work(begin), "only nodes that the server told directly report it")
 	require.Empty(t, second.ApplyPeerWork([]Work{{Server: ServerKey("i-9"), Suspects: drainingSuspects + 3}}, begin))
 	second.Update([]Server{{Instance: "i-9", Service: "s"}}, begin)
-	require.True(t, candidate(second, "i-9", begin).Leaving, "it was told before the list named it")
+	require.True(t, candidate(second, "i-9", begin).Leaving, "reported before the list included the server")
 }
 
 func TestDrainingSetIsBounded(t *testing.T) {
@@ -65,7 +65,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			c := candidate(set, "i-0", now)
-			require.Equal(t, now.Before(backoffEnd), c.BackoffLeft > 0 && now.Before(backoffEnd), "a rest is kept")
+			require.Equal(t, now.Before(backoffEnd), c.BackoffLeft > 0 && now.Before(backoffEnd), "backoff is honored")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				retryAfter := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
@@ -101,7 +101,7 @@
 				}
 			}
 			if 2*previous < defaultSlots {
-				require.LessOrEqual(t, len(sent), max(1, 2*previous), "at most twice as many as were admitted")
+				require.LessOrEqual(t, len(sent), max(1, 2*previous), "the window at most doubles per round")
 			}
 			previous = len(sent)
 			for _, attempt := range sent {
@@ -118,14 +118,14 @@
 	stream := send(set, "i-0", 0, begin)
 	set.Notice("i-0", Notice{RetryAfter: time.Second}, begin)
 	after := begin.Add(2 * time.Second)
-	require.False(t, candidate(set, "i-0", after).Busy, "it began before the rest")
+	require.False(t, candidate(set, "i-0", after).Busy, "the stream began before the backoff and does not count")
 	first := send(set, "i-0", 0, after)
 	require.True(t, candidate(set, "i-0", after).Busy)
 	first.ResponseStarted(after)
-	require.False(t, candidate(set, "i-0", after).Busy, "the server works on the first")
+	require.False(t, candidate(set, "i-0", after).Busy, "admitting the first request widens the window")
 	set.Notice("i-0", Notice{RetryAfter: time.Second}, after)
 	after = after.Add(2 * time.Second)
-	require.False(t, candidate(set, "i-0", after).Busy, "what tried it before the second rest counts no more")
+	require.False(t, candidate(set, "i-0", after).Busy, "requests of the former round do not count")
 	stream.End(exchange.ResultServed, after)
 	first.End(exchange.ResultServed, after)
 	require.False(t, candidate(set, "i-0", after).Busy)
--- a/internal/backend/packed.go
+++ b/internal/backend/packed.go
@@ -25,7 +25,7 @@
 }
 
 // errInconsistentList is returned by Unpack for a malformed list.
-var errInconsistentList = errors.New("the list of servers cannot be read; run the same version on all nodes")
+var errInconsistentList = errors.New("malformed server list from another node: run the same version on all nodes")
 
 // Pack encodes a list.
 func Pack(list []Server) Packed {
--- a/internal/backend/ring_test.go
+++ b/internal/backend/ring_test.go
@@ -41,7 +41,7 @@
 		before := subsetNames(one, near, most)
 		require.Equal(t, before, subsetNames(other, near, most))
 		require.Len(t, before, min(most, servers))
-		require.ElementsMatch(t, subsetNames(one, near, 0), subsetNames(other, 0, 0), "without a bound, all are found")
+		require.ElementsMatch(t, subsetNames(one, near, 0), subsetNames(other, 0, 0), "all servers without a limit")
 		if servers == 1 {
 			return
 		}
@@ -56,7 +56,7 @@
 		require.GreaterOrEqual(t, kept, len(before)-1)
 		require.NotContains(t, subsetNames(one, near, most), left)
 		one.Apply(nil, nil, begin.Add(unlistedRetention+time.Second))
-		require.Len(t, one.servers, servers-1, "it is forgotten")
+		require.Len(t, one.servers, servers-1, "removed after the retention")
 		require.Len(t, one.rings["s"], servers-1)
 		require.Len(t, one.byKey, servers-1)
 	})
@@ -69,7 +69,7 @@
 	set.Gone("i-4", begin)
 	require.Len(t, set.withLocalState, 2)
 	require.Equal(t, []Work{{Server: ServerKey("i-3"), Running: 1, QueuedTokens: 10}}, set.Work(begin))
-	require.Zero(t, emptyLocalState, "what is shared is not changed")
+	require.Zero(t, emptyLocalState, "the shared empty state is not modified")
 }
 
 // If there are more engines than the limit, only the recently used ones are returned and
@@ -109,7 +109,7 @@
 	set := NewSet()
 	set.Update(list, begin)
 	each := (heapInUse() - before) / servers
-	t.Logf("%d bytes a server", each)
+	t.Logf("%d bytes per server", each)
 	require.LessOrEqual(t, each, uint64(mostEach))
 	runtime.KeepAlive(set)
 }
--- a/internal/backend/set_test.go
+++ b/internal/backend/set_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, []Change{{Server: server("x"), Gone: true}}, changes)
 	require.Len(t, set.Candidates(nil, query, begin), 1)
 	set.Update(nil, begin)
-	require.Len(t, set.Candidates(nil, query, begin), 2, "the list may have lost them")
+	require.Len(t, set.Candidates(nil, query, begin), 2, "the list may have lost its entries")
 	set.Update(nil, begin.Add(unlistedRetention+time.Second))
 	require.Empty(t, set.Candidates(nil, query, begin))
 }
@@ -52,7 +52,7 @@
 	set.Update([]Server{draining}, begin)
 	require.True(t, candidateOf(t, set, query, begin, "x").Leaving)
 	set.Update(nil, begin)
-	require.Empty(t, set.Candidates(nil, query, begin), "not even when it has vanished")
+	require.Empty(t, set.Candidates(nil, query, begin), "not even as a last resort once unlisted")
 }
 
 func TestModelVersionNeverDecreases(t *testing.T) {
@@ -84,15 +84,15 @@
 	set.SetLoads(Loads{Loading: []Load{{Instance: "x", Model: "m", Version: 2}}}, begin)
 	require.False(t, candidateOf(t, set, query, begin, "x").Ready)
 	require.True(t, candidateOf(t, set, query, begin, "y").Ready)
-	require.True(t, candidateOf(t, set, query, begin.Add(loadingTTL), "x").Ready, "whoever said so may be gone")
+	require.True(t, candidateOf(t, set, query, begin.Add(loadingTTL), "x").Ready, "the rollout holder may be gone")
 	set.ObserveVersions("x", map[string]int64{"m": 2})
 	require.True(t, candidateOf(t, set, query, begin, "x").Ready)
 	set.SetLoads(Loads{Loading: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
 	set.SetLoads(Loads{Loaded: []Load{{Instance: "y", Model: "m", Version: 2}}}, begin)
 	require.True(t, candidateOf(t, set, query, begin, "y").Ready)
-	require.Equal(t, int64(2), candidateOf(t, set, query, begin, "y").Version, "known at once, not only from the list")
+	require.Equal(t, int64(2), candidateOf(t, set, query, begin, "y").Version, "known before the list is updated")
 	set.SetLoads(Loads{Loading: []Load{{Instance: "y", Model: "other", Version: 9}}}, begin)
-	require.True(t, candidateOf(t, set, query, begin, "y").Ready, "another model is no concern")
+	require.True(t, candidateOf(t, set, query, begin, "y").Ready, "loading another model does not matter")
 }
 
 func TestInFlightCountIsExact(t *testing.T) {
@@ -136,7 +136,7 @@
 	probe := send(set, "x", 0, later)
 	require.True(t, candidateOf(t, set, query, later, "x").BreakerOpen, "one probe at a time")
 	probe.End(exchange.ResultNeutral, later)
-	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen, "the probe said nothing")
+	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen, "the probe was inconclusive")
 	send(set, "x", 0, later).End(exchange.ResultServed, later)
 	require.False(t, candidateOf(t, set, query, later, "x").BreakerOpen)
 }
@@ -169,7 +169,7 @@
 	for range 3 {
 		send(set, "x", 0, begin).End(exchange.ResultServed, begin)
 	}
-	require.Less(t, share(begin), refused, "it takes requests again")
+	require.Less(t, share(begin), refused, "accepted requests lower the rate")
 	require.Less(t, share(begin.Add(failureHalfLife)), share(begin))
 	send(set, "x", 0, begin).End(exchange.ResultFaulty, begin)
 	require.Greater(t, share(begin), refused/2)
@@ -179,13 +179,13 @@
 	before := share(later)
 	set.Notice("x", Notice{RetryAfter: time.Second}, later)
 	refuse(later)
-	require.Equal(t, before, share(later), "a server that says when to come back is used again then")
+	require.Equal(t, before, share(later), "refusals during a backoff do not count")
 
 	later = later.Add(time.Minute)
 	refuse(later)
 	require.Positive(t, share(later))
 	set.ObserveVersions("x", map[string]int64{"m": 2})
-	require.Less(t, share(later), 0.01, "it was loading")
+	require.Less(t, share(later), 0.01, "a new version resets the refusals")
 }
 
 func TestAnyResponseShowsServerIsAlive(t *testing.T) {
@@ -213,9 +213,9 @@
 		return names
 	}
 	set.Update(list, now.Add(time.Second))
-	require.Equal(t, []string{"other"}, names(now.Add(time.Second)), "the list lags")
+	require.Equal(t, []string{"other"}, names(now.Add(time.Second)), "the list lags behind")
 	require.Len(t, set.Servers(now.Add(time.Second)), 1)
-	require.Len(t, names(now.Add(replacedRetention)), 2, "one wrong answer condemns nobody for ever")
+	require.Len(t, names(now.Add(replacedRetention)), 2, "a wrong answer does not exclude a server for good")
 
 	// A replaced server in the list does not make an unlisted one usable.
 	set.Update(list[:1], now.Add(time.Second))
@@ -239,7 +239,7 @@
 		require.True(t, loading())
 	}
 	now = now.Add(time.Millisecond)
-	require.False(t, loading(), "its holder may be lost")
+	require.False(t, loading(), "the rollout holder may be gone")
 }
 
 // A deferred attempt does not count as work that delays others until it has started.
--- a/internal/backend/shedding_test.go
+++ b/internal/backend/shedding_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	t.Logf("%d of %d requests went to servers that shed", toShedding, sent)
+	t.Logf("%d of %d requests went to shedding servers", toShedding, sent)
 	require.Less(t, float64(toShedding)/float64(sent), 0.5*shedding/servers)
-	require.Positive(t, toShedding, "they are tried again")
+	require.Positive(t, toShedding, "shedding servers are still tried")
 }
--- a/internal/backend/work_test.go
+++ b/internal/backend/work_test.go
@@ -41,16 +41,16 @@
 	require.Equal(t, []int{1, 5, 1000}, []int{seen.InFlight, seen.Running, seen.QueuedTokens})
 	require.Zero(t, candidate(set, "i-1", now).Running)
 	late := now.Add(peerWorkTTL + 1)
-	require.Equal(t, 1, candidate(set, "i-0", late).Running, "nobody renewed it")
+	require.Equal(t, 1, candidate(set, "i-0", late).Running, "expired without renewal")
 	set.ApplyPeerWork(nil, now)
-	require.Equal(t, 1, candidate(set, "i-0", now).Running, "they have done it")
+	require.Equal(t, 1, candidate(set, "i-0", now).Running, "peers report no more work")
 }
 
 func TestSuspectQuorumExcludesServer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := newUniformSet(2, now)
 	set.ApplyPeerWork([]Work{{Server: ServerKey("i-0"), Suspects: 1}}, now)
-	require.False(t, candidate(set, "i-0", now).BreakerOpen, "one may have lost its own way there")
+	require.False(t, candidate(set, "i-0", now).BreakerOpen, "a single peer may have lost its own path")
 	set.ApplyPeerWork([]Work{{Server: ServerKey("i-0"), Suspects: 2}}, now)
 	require.True(t, candidate(set, "i-0", now).BreakerOpen)
 	require.False(t, candidate(set, "i-1", now).BreakerOpen)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -73,7 +73,7 @@
 	require.Equal(t, Releases{{Version: 1}, {Version: 2, UnreleasedAt: second(1)}, {Version: 4, UnreleasedAt: second(2)}}, releases)
 	missing, found := releases.After(1)
 	require.True(t, found)
-	require.Equal(t, int64(2), missing.Version, "a server is late from the first version that it lacks")
+	require.Equal(t, int64(2), missing.Version, "staleness counts from the first version that the server lacks")
 	_, found = releases.After(4)
 	require.False(t, found)
 }
@@ -84,14 +84,14 @@
 	releases := Releases{{Version: 1}, {Version: 2, UnreleasedAt: second(10)}, {Version: 3, UnreleasedAt: second(14)}}
 	require.Equal(t, int64(0), releases.Required(second(0), second(0)))
 	require.Equal(t, int64(1), releases.Required(second(9), second(0)))
-	require.Equal(t, int64(2), releases.Required(second(12), second(0)), "a newer naming does not excuse the one before")
+	require.Equal(t, int64(2), releases.Required(second(12), second(0)), "a newer release does not extend the deadline of the previous one")
 	require.Equal(t, int64(3), releases.Required(second(15), second(0)))
 }
 
 func TestReleaseAfterEmptyReadHasUnknownDate(t *testing.T) {
 	replica := Advance(nil, ReadResult{})
 	replica = Advance(replica, ReadResult{SentAt: time.Unix(1000, 0), Weights: map[string]int64{"m": 3}})
-	require.Zero(t, replica.Weights["m"][0].UnreleasedAt, "it may have been named long before")
+	require.Zero(t, replica.Weights["m"][0].UnreleasedAt, "it may have been released long before")
 	require.True(t, replica.Fresh(time.Unix(1001, 0), time.Second))
 }
 
@@ -101,6 +101,6 @@
 	require.NotNil(t, replica)
 	replica = Advance(replica, ReadResult{SentAt: failedAt.Add(time.Second), Declaration: &Declaration{Version: 1}, Weights: map[string]int64{"m": 2}})
 	require.Equal(t, failedAt, replica.DisruptedAt)
-	require.True(t, replica.Weights["m"][0].UnreleasedAt.IsZero(), "nobody knows when it was named")
+	require.True(t, replica.Weights["m"][0].UnreleasedAt.IsZero(), "the time of the release is unknown")
 	require.Equal(t, failedAt.Add(time.Second), replica.AsOf)
 }
--- a/internal/claim/check.go
+++ b/internal/claim/check.go
@@ -14,12 +14,12 @@
 		return nil
 	}
 	if created.After(now.Add(config.ClockSkew)) {
-		return failure.New(failure.KindInvalidRequest, "the idempotency key was minted in the future",
-			"set the caller's clock, or declare a larger claims.clockSkew")
+		return failure.New(failure.KindInvalidRequest, "the idempotency key was created in the future",
+			"correct the caller's clock, or declare a larger claims.clockSkew")
 	}
 	if now.Sub(created) > config.Window-config.ClockSkew {
-		return failure.New(failure.KindDuplicate, "the idempotency key is older than the claim window; an earlier send of it may have run",
-			"look at the outcome of the first send; mint a new key only if it did not run").WithOutcome(failure.Unknown)
+		return failure.New(failure.KindDuplicate, "the idempotency key is older than the claim window; an earlier request with it may have run",
+			"check the outcome of the first request; create a new key only if it did not run").WithOutcome(failure.Unknown)
 	}
 	return nil
 }
--- a/internal/command/declaration.go
+++ b/internal/command/declaration.go
@@ -16,7 +16,7 @@
 
 func fileArgument(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", failure.New(failure.KindInvalidRequest, "one declaration file is needed", "write: cloverrail "+command.Name+" FILE")
+		return "", failure.New(failure.KindInvalidRequest, "exactly one declaration file is required", "run: cloverrail "+command.Name+" FILE")
 	}
 	return command.Args().First(), nil
 }
@@ -28,7 +28,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", nil, failure.New(failure.KindInvalidRequest, err.Error(), "name a file that exists")
+		return "", nil, failure.New(failure.KindInvalidRequest, err.Error(), "specify a readable file")
 	}
 	declared, err = configuration.Parse(path, text)
 	return path, declared, err
@@ -121,7 +121,7 @@
 			answer, err := post[operator.ChangeResponse](ctx, command, "apply", operator.ApplyRequest{
 				ChangeID: change, File: filepath.Base(path), Declaration: declared, BaseRevision: command.Int64("base")})
 			if err != nil && failure.As(err).Outcome == failure.Unknown {
-				return failure.New(failure.KindUnknownOutcome, "it is not known whether change "+change+" took effect: "+failure.As(err).Problem,
+				return failure.New(failure.KindUnknownOutcome, "unknown whether change "+change+" took effect: "+failure.As(err).Problem,
 					"run: cloverrail apply --settle "+change).WithOutcome(failure.Unknown)
 			}
 			return printChange(command, answer, err)
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -114,7 +114,7 @@
 		Action: func(_ context.Context, command *cli.Command) error {
 			id := command.Args().First()
 			if id == "" {
-				return failure.New(failure.KindInvalidRequest, "no request is named", "give the request's id")
+				return failure.New(failure.KindInvalidRequest, "missing request ID", "pass the request's ID as the argument")
 			}
 			return explain(os.Stdin, writer(command), id)
 		},
@@ -128,11 +128,11 @@
 		return err
 	}
 	if len(lines) == 0 {
-		remedy := "give the logs of all nodes"
+		remedy := "pass the logs of all nodes"
 		if suppressed > 0 {
-			remedy = fmt.Sprintf("its lines may be among the %d that the nodes left out", suppressed)
+			remedy = fmt.Sprintf("its lines may be among the %d that the nodes suppressed", suppressed)
 		}
-		return failure.New(failure.KindNotFound, "no line names the request", remedy)
+		return failure.New(failure.KindNotFound, "no log line of the request found", remedy)
 	}
 	for _, line := range lines {
 		if _, err := fmt.Fprintf(target, "%s %s: %s\n", line.Time.Format("15:04:05.000"), line.Node, line.text()); err != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	slices.SortStableFunc(lines, func(first, second logLine) int { return first.Time.Compare(second.Time) })
-	return lines, suppressed, errors.Annotate(scanner.Err(), "the log cannot be read; give it as the nodes wrote it")
+	return lines, suppressed, errors.Annotate(scanner.Err(), "cannot read the log; pass it as the nodes wrote it")
 }
 
 func (line logLine) text() string {
--- a/internal/command/explain_test.go
+++ b/internal/command/explain_test.go
@@ -66,7 +66,7 @@
 
 func TestExplainWithoutMatchingLines(t *testing.T) {
 	err := explain(strings.NewReader(explainLog), &strings.Builder{}, "r9")
-	require.ErrorContains(t, err, "5 that the nodes left out")
+	require.ErrorContains(t, err, "5 that the nodes suppressed")
 	err = explain(strings.NewReader(""), &strings.Builder{}, "r9")
 	require.ErrorContains(t, err, "all nodes")
 }
--- a/internal/configstore/part.go
+++ b/internal/configstore/part.go
@@ -102,7 +102,7 @@
 func Join(parts []Part) (*configuration.Declaration, error) {
 	for _, part := range parts {
 		if part.tenants == nil && newPart(part.Name, part.Data).Digest != part.Digest {
-			return nil, errors.Errorf("part %s does not match its digest; it is fetched again", part.Name)
+			return nil, errors.Errorf("part %s does not match its digest; it will be fetched again", part.Name)
 		}
 	}
 	declaration, err := decodeBase(parts)
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -87,7 +87,7 @@
 	}
 	version := &Version{Revision: stored.ModRevision}
 	if err := json.Unmarshal(stored.Value, &version.Manifest); err != nil {
-		return nil, errors.Annotate(err, "the stored manifest cannot be read; apply the declaration again")
+		return nil, errors.Annotate(err, "cannot decode the stored manifest; apply the declaration again")
 	}
 	parts := PartsByName(cached)
 	if err := store.fetchParts(ctx, version.Manifest, parts); err != nil {
@@ -96,7 +96,7 @@
 	for _, name := range version.Manifest.Parts {
 		part, found := parts[name]
 		if !found {
-			return nil, failure.New(failure.KindUnavailable, "part "+name.Name+" is gone; another change came meanwhile", "read again")
+			return nil, failure.New(failure.KindUnavailable, "part "+name.Name+" was deleted by a concurrent change", "read again")
 		}
 		version.Parts = append(version.Parts, part)
 	}
@@ -208,8 +208,8 @@
 		return current.Claims.Previous, nil
 	}
 	if len(current.Claims.Previous) > 0 {
-		return nil, failure.New(failure.KindConflict, "a change of claims.holders is still under way",
-			"apply again once the holders have taken over; all but one of the old and of the new must be up")
+		return nil, failure.New(failure.KindConflict, "a change of claims.holders is still in progress",
+			"apply again once the new holders have taken over; at most one of the old and one of the new holders may be down")
 	}
 	return current.Claims.Holders, nil
 }
@@ -235,8 +235,8 @@
 	// earlier attempt of a retried transaction may have taken effect.
 	accepted, settleErr := store.Settle(ctx, changeID)
 	if settleErr != nil {
-		return nil, failure.New(failure.KindUnknownOutcome, "the key-value service gave no answer on change "+changeID,
-			"ask again with `cloverrail apply --settle "+changeID+"`").WithOutcome(failure.Unknown)
+		return nil, failure.New(failure.KindUnknownOutcome, "the key-value service did not confirm change "+changeID,
+			"determine its outcome with `cloverrail apply --settle "+changeID+"`").WithOutcome(failure.Unknown)
 	}
 	if !accepted {
 		return nil, store.conflict(ctx, base)
@@ -302,7 +302,7 @@
 		return false, err
 	}
 	if status.ModRevision == 0 {
-		return false, failure.New(failure.KindUnknownOutcome, "the change could not be settled", "ask again").WithOutcome(failure.Unknown)
+		return false, failure.New(failure.KindUnknownOutcome, "the outcome of the change could not be determined", "try again").WithOutcome(failure.Unknown)
 	}
 	return string(status.Value) == statusAccepted, nil
 }
@@ -316,9 +316,9 @@
 }
 
 func (store *Store) conflict(ctx context.Context, base *Version) error {
-	problem := fmt.Sprintf("another change came after revision %d", revisionOf(base))
+	problem := fmt.Sprintf("another change replaced revision %d", revisionOf(base))
 	if winner, err := store.Read(ctx, base); err == nil && winner != nil {
-		problem = fmt.Sprintf("revision %d, change %s, came after revision %d", winner.Revision, winner.Manifest.ChangeID, revisionOf(base))
+		problem = fmt.Sprintf("revision %d, change %s, replaced revision %d", winner.Revision, winner.Manifest.ChangeID, revisionOf(base))
 	}
 	return failure.New(failure.KindConflict, problem, "run `cloverrail plan` to see the difference, then apply again")
 }
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -25,7 +25,7 @@
 	reliable bool
 }
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func (service *flakyService) drawFault() string {
 	if service.reliable {
@@ -123,7 +123,7 @@
 			case err == nil:
 				accepted = append(accepted, change)
 				require.Equal(t, history[change], version.Revision)
-				require.Equal(t, currentRevision, revisionOf(base), "a change never overwrites one that its operator had not seen")
+				require.Equal(t, currentRevision, revisionOf(base), "a change must not overwrite a revision that its operator had not read")
 			case failure.Is(err, failure.KindConflict) || failure.As(err).Outcome == failure.NotRun:
 				rejected = append(rejected, change)
 			default:
@@ -145,10 +145,10 @@
 			observe()
 		}
 		for _, change := range accepted {
-			require.Contains(t, history, change, "accepted means in force")
+			require.Contains(t, history, change, "accepted changes must be in the history")
 		}
 		for _, change := range rejected {
-			require.NotContains(t, history, change, "refused means never in force")
+			require.NotContains(t, history, change, "rejected changes must never be in the history")
 		}
 	})
 }
@@ -182,7 +182,7 @@
 		}
 	}
 	require.Equal(t, 1, rewritten)
-	t.Logf("%d parts, %d bytes moved", len(after), bytes)
+	t.Logf("%d parts, %d bytes rewritten", len(after), bytes)
 }
 
 func TestCompiledPartsMarshalToSameBytes(t *testing.T) {
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -32,14 +32,14 @@
 
 	checkReference := func(known map[string]bool, path, kind, name string) {
 		if !known[name] {
-			report(path, fmt.Sprintf("no %s is named %q", kind, name), "declare it, or correct the name")
+			report(path, fmt.Sprintf("unknown %s %q", kind, name), "declare it, or correct the name")
 		}
 	}
 	backends := map[string]string{}
 	checkBackend := func(path string, server Backend) {
 		checkReference(zones, path+".zone", "zone", server.Zone)
 		if first, duplicate := backends[server.Name]; duplicate {
-			report(path+".name", fmt.Sprintf("%q is already used at %s", server.Name, first), "give every back end its own name")
+			report(path+".name", fmt.Sprintf("%q is already used at %s", server.Name, first), "give every backend a unique name")
 		}
 		backends[server.Name] = path
 	}
@@ -67,7 +67,7 @@
 	digests := map[string]string{}
 	checkDigest := func(path, value string) {
 		if first, duplicate := digests[value]; duplicate {
-			report(path, "the same key digest stands at "+first, "give every tenant and operator its own key")
+			report(path, "the same key digest is already used at "+first, "give every tenant and operator a unique key")
 		}
 		digests[value] = path
 	}
@@ -85,7 +85,7 @@
 		checkDigest(fmt.Sprintf("operators[%d].keyDigest", index), operator.KeyDigest)
 	}
 	if count := len(declaration.Claims.Holders); count > 0 && count < 3 {
-		report("claims.holders", fmt.Sprintf("%d holders cannot outlive the loss of one", count), "name at least 3 nodes, in different zones")
+		report("claims.holders", fmt.Sprintf("%d holders cannot tolerate the loss of one", count), "name at least 3 nodes, in different zones")
 	}
 }
 
--- a/internal/coordination/position_test.go
+++ b/internal/coordination/position_test.go
@@ -20,8 +20,8 @@
 		require.Equal(t, a.Before(b), a.Token() < b.Token())
 		require.Equal(t, a == b, a.Token() == b.Token())
 		require.Equal(t, a.Revision, Position{Era: initialEra, Revision: a.Revision}.Token())
-		require.Equal(t, a.Revision, Position{Revision: a.Revision}.Token(), "a store that names no era")
-		require.Less(t, a.Token(), int64(1)<<53, "exact as a floating point number")
+		require.Equal(t, a.Revision, Position{Revision: a.Revision}.Token(), "a store that sends no era")
+		require.Less(t, a.Token(), int64(1)<<53, "exact as a float64")
 		require.Equal(t, a.Later(b), b.Later(a))
 	})
 }
@@ -34,7 +34,7 @@
 		OnIgnored: func(value string, _ int64) { ignored = append(ignored, value) },
 	}
 	eras.Ignore("")
-	require.True(t, eras.Observe(4), "the first is no change")
+	require.True(t, eras.Observe(4), "the first era is not a change")
 	_, restoredAt := eras.State()
 	require.True(t, restoredAt.IsZero())
 	next := eras.NextChange()
--- a/internal/dispatch/driver.go
+++ b/internal/dispatch/driver.go
@@ -46,7 +46,7 @@
 }
 
 // ErrMalformedEvent is returned by a sink that cannot parse an engine's event.
-var ErrMalformedEvent = errors.New("the engine sent an event that cannot be read")
+var ErrMalformedEvent = errors.New("the engine sent a malformed event")
 
 // BodyFunc builds the request body of an attempt that continues at an offset.
 type BodyFunc func(continueAt int) ([]byte, error)
@@ -277,7 +277,7 @@
 		run.step(Rejected{Attempt: attempt, Status: rejected.Status, Body: rejected.Body})
 	case run.checkContext(ctx):
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		run.step(Broken{Attempt: attempt, Reason: "the engine closed it early"})
+		run.step(Broken{Attempt: attempt, Reason: "the engine closed the stream before its end event"})
 	default:
 		go run.call.Placer.ReportStale(run.target)
 		run.step(Broken{Attempt: attempt, Reason: err.Error()})
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -230,11 +230,11 @@
 		machine.textComplete = true
 		return nil
 	case MalformedEvent:
-		return machine.abandon(failure.KindStreamBroken, "the engine sent an event that cannot be read", "send the request again")
+		return machine.abandon(failure.KindStreamBroken, "the engine sent a malformed event", "send the request again")
 	case Expired:
 		return machine.abandon(failure.KindDeadline, "the request's deadline passed", "send it again, or declare a longer deadline for its class")
 	case CallerLeft:
-		return machine.abandon(failure.KindCallerLeft, "the caller left before the end", "send the request again")
+		return machine.abandon(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again")
 	default:
 		return nil
 	}
@@ -276,7 +276,7 @@
 		return nil
 	}
 	machine.mayHaveRun = true
-	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the answer came from another incarnation or version")...)
+	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the response came from another engine incarnation or model version")...)
 }
 
 func (machine *Machine) received(event engineapi.Event) []Action {
@@ -306,7 +306,7 @@
 }
 
 func (machine *Machine) notStarted(now time.Time, reason string) []Action {
-	return machine.retryOrFail(now, "the engine did not start it: "+reason)
+	return machine.retryOrFail(now, "the engine did not start the request: "+reason)
 }
 
 // broken resumes on the same engine first, since its stream may still exist.
@@ -320,7 +320,7 @@
 	if machine.opened && machine.resumes < machine.limits.MaxResumes {
 		return machine.resume()
 	}
-	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the connection broke: "+reason)...)
+	return append(machine.cancelAttempt(), machine.retryOrFail(now, "the connection was lost: "+reason)...)
 }
 
 func (machine *Machine) resume() []Action {
--- a/internal/dispatch/machine_test.go
+++ b/internal/dispatch/machine_test.go
@@ -60,7 +60,7 @@
 func (simulator *simulator) run() {
 	simulator.pendingActions = simulator.machine.Start()
 	for count := 0; len(simulator.pendingActions) > 0; count++ {
-		require.Less(simulator.t, count, 10_000, "the request must come to an end")
+		require.Less(simulator.t, count, 10_000, "the request must finish")
 		next := simulator.pendingActions[0]
 		simulator.pendingActions = simulator.pendingActions[1:]
 		simulator.perform(next)
@@ -78,16 +78,16 @@
 		simulator.attempts = append(simulator.attempts, attempt)
 		simulator.step(Placed{Attempt: attempt, Target: Target{Endpoint: attempt, Epoch: "epoch", Weights: "v1"}})
 	case Send:
-		require.Equal(simulator.t, simulator.emitted, action.ContinueAt, "an attempt goes on where the caller is")
+		require.Equal(simulator.t, simulator.emitted, action.ContinueAt, "an attempt continues at the caller's offset")
 		simulator.openAttempt(action.Attempt, action.ContinueAt)
 	case Resume:
 		require.Equal(simulator.t, simulator.emitted-1, action.AfterOffset)
 		simulator.streamEvents(action.Attempt, action.AfterOffset+1)
 	case Emit:
-		require.Equal(simulator.t, eventText(simulator.emitted), string(action.Data), "the caller's events are whole, in order, and its own")
+		require.Equal(simulator.t, eventText(simulator.emitted), string(action.Data), "events are complete, in order and from the right attempt")
 		simulator.emitted++
 	case Finish:
-		require.Equal(simulator.t, simulator.events, simulator.emitted, "an end is only given to a whole answer")
+		require.Equal(simulator.t, simulator.events, simulator.emitted, "only a complete response is finished")
 		simulator.finished = true
 	case Fail:
 		simulator.failed = action.Failure
@@ -170,9 +170,9 @@
 		simulator := &simulator{t: t, machine: NewMachine(DefaultLimits, budget), events: rapid.IntRange(1, 30).Draw(t, "events")}
 		simulator.run()
 		require.True(t, simulator.machine.Finished())
-		require.True(t, simulator.finished != (simulator.failed != nil), "a request has exactly one end")
+		require.True(t, simulator.finished != (simulator.failed != nil), "a request has exactly one result")
 		if simulator.failed != nil && simulator.failed.Outcome == failure.NotRun {
-			require.Zero(t, simulator.started, "not-run is true")
+			require.Zero(t, simulator.started, "not-run is reported only if no engine started the request")
 		}
 		require.LessOrEqual(t, len(simulator.attempts), DefaultLimits.MaxAttempts)
 	})
--- a/internal/endpoint/record_test.go
+++ b/internal/endpoint/record_test.go
@@ -85,7 +85,7 @@
 	unreported := table.Candidates(nil, "p", "", "", now)[2]
 	require.Equal(t, 2000, unreported.QueuedTokens)
 	require.Equal(t, 6, unreported.Running)
-	require.Zero(t, table.Candidates(nil, "p", "", "", now.Add(time.Minute))[0].QueuedTokens, "old reports say nothing")
+	require.Zero(t, table.Candidates(nil, "p", "", "", now.Add(time.Minute))[0].QueuedTokens, "expired reports are ignored")
 }
 
 func TestUnreportedAttemptsCountUntilNextReport(t *testing.T) {
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -170,7 +170,7 @@
 		}
 		offset, err := strconv.Atoi(event.LastEventID)
 		if err != nil {
-			return errors.Errorf("event without a number in its id: %q", event.LastEventID)
+			return errors.Errorf("event id is not a number: %q", event.LastEventID)
 		}
 		if !yield(Event{Offset: offset, Data: []byte(event.Data), Done: event.Data == "[DONE]"}) {
 			return nil
--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -15,7 +15,7 @@
 const maxEventBytes = 1 << 20
 
 // ErrEventTooLong is returned for an event that exceeds the size limit.
-var ErrEventTooLong = errors.New("an event of the stream is too long")
+var ErrEventTooLong = errors.New("event of the stream exceeds 1 MiB")
 
 // Event is one complete event.
 type Event struct {
--- a/internal/exchange/driver.go
+++ b/internal/exchange/driver.go
@@ -187,7 +187,7 @@
 	driver.outcome.Status = answer.Status
 	driver.outcome.TimeToHead = boottime.Since(driver.started)
 	if driver.request.Caller.Answer(answer) != nil {
-		driver.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller left before the end", "send it again").WithOutcome(failure.Ran)
+		driver.outcome.Failure = failure.New(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again").WithOutcome(failure.Ran)
 	}
 }
 
--- a/internal/exchange/driver_test.go
+++ b/internal/exchange/driver_test.go
@@ -29,7 +29,7 @@
 
 func (placer *placer) Place([]string) (Placement, *Unplaced) {
 	if placer.next >= len(placer.list) {
-		return nil, &Unplaced{Reason: "none is left", Permanent: true}
+		return nil, &Unplaced{Reason: "no servers left", Permanent: true}
 	}
 	placer.next++
 	return &placement{placer: placer, number: placer.next - 1}, nil
--- a/internal/exchange/machine.go
+++ b/internal/exchange/machine.go
@@ -112,7 +112,7 @@
 		return machine.unplaced(now, event)
 	case Refused:
 		machine.runs--
-		return machine.retryOrFail(now, "the server refused it: "+event.Reason, true)
+		return machine.retryOrFail(now, "the server refused the request: "+event.Reason, true)
 	case Unreached:
 		machine.runs--
 		return machine.retryOrFail(now, "the server cannot be reached: "+event.Reason, false)
@@ -126,17 +126,17 @@
 		machine.phase = finished
 		return []Action{Finish{}}
 	case Broken:
-		return machine.retryOrFail(now, "the attempt broke: "+event.Reason, true)
+		return machine.retryOrFail(now, "the attempt failed after it was sent: "+event.Reason, true)
 	case Silent:
 		return machine.silent(now)
 	case Late:
-		return machine.retryOrFail(now, "it did not begin in time", true)
+		return machine.retryOrFail(now, "the server did not start the request in time", true)
 	case Expired:
-		return machine.abandon(failure.KindDeadline, "the request's time is over", "allow it more time, or send it again")
+		return machine.abandon(failure.KindDeadline, "the request's deadline has passed", "allow it more time, or send it again")
 	case Stopping:
-		return machine.abandon(failure.KindStopping, "this node stops", "send it to another node")
+		return machine.abandon(failure.KindStopping, "this node is shutting down", "send the request to another node")
 	case CallerLeft:
-		return machine.abandon(failure.KindCallerLeft, "the caller left before the end", "send it again")
+		return machine.abandon(failure.KindCallerLeft, "the caller disconnected before the response was complete", "send the request again")
 	default:
 		return nil
 	}
@@ -157,13 +157,13 @@
 		return []Action{Place{Excluded: machine.excluded, Delay: placementRetryDelay}}
 	}
 	machine.retryAfter = event.RetryAfter
-	return machine.fail(failure.KindNoEndpoint, "no server can take the request: "+event.Reason, "send it again, or add servers")
+	return machine.fail(failure.KindNoEndpoint, "no server can accept the request: "+event.Reason, "send it again, or add servers")
 }
 
 func (machine *Machine) answered(now time.Time, event Answered) []Action {
 	if machine.headSent {
 		// The caller already has the head of another response.
-		return machine.retryOrFail(now, "the server that should go on failed", true)
+		return machine.retryOrFail(now, "the server did not resume the stream", true)
 	}
 	if event.Faulty && machine.mayRetry(now, true) {
 		machine.stashed = true
--- a/internal/exchange/machine_test.go
+++ b/internal/exchange/machine_test.go
@@ -42,14 +42,14 @@
 
 func (checker *checker) checkActions(actions []Action) {
 	for _, action := range actions {
-		require.False(checker.t, checker.ended, "%T after the end", action)
+		require.False(checker.t, checker.ended, "%T after the request has ended", action)
 		switch action := action.(type) {
 		case Place:
 			checker.placing, checker.inFlight = true, false
 		case Send:
 			checker.sends++
 			if checker.possibleRuns > 0 {
-				require.True(checker.t, checker.rules.Repeatable, "sent again although it may have run")
+				require.True(checker.t, checker.rules.Repeatable, "retried although an attempt may have run")
 			}
 			checker.possibleRuns++
 			checker.inFlight = true
@@ -70,7 +70,7 @@
 			checker.ended = true
 		case Fail:
 			require.Zero(checker.t, checker.heads)
-			require.Equal(checker.t, action.Failure.Outcome == failure.NotRun, checker.possibleRuns == 0, "the outcome is not what happened")
+			require.Equal(checker.t, action.Failure.Outcome == failure.NotRun, checker.possibleRuns == 0, "the outcome contradicts the attempts")
 			checker.ended = true
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 	actions := checker.machine.Step(checker.now, event)
 	if arrived, isEvent := event.(Arrived); isEvent && len(actions) > 0 {
-		require.Greater(checker.t, arrived.ID, checker.lastID, "an event twice, or out of order")
+		require.Greater(checker.t, arrived.ID, checker.lastID, "an event was forwarded twice or out of order")
 		checker.lastID = arrived.ID
 	}
 	checker.checkActions(actions)
@@ -138,7 +138,7 @@
 			checker.step(checker.drawEvent())
 		}
 		require.Equal(t, checker.ended, checker.machine.Finished())
-		require.Empty(t, checker.machine.Step(checker.now, Arrived{ID: 99, HasID: true}), "something after the end")
+		require.Empty(t, checker.machine.Step(checker.now, Arrived{ID: 99, HasID: true}), "no actions after the request has ended")
 	})
 }
 
@@ -160,7 +160,7 @@
 
 func TestRetriesRefusedButNotBrokenAttempt(t *testing.T) {
 	require.Contains(t, lastActions(singleRun, 1, nil, Placed{Server: "a"}, Refused{}), Place{Excluded: []string{"a"}})
-	require.Contains(t, lastActions(singleRun, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "nothing arrived: nothing to pay for")
+	require.Contains(t, lastActions(singleRun, 0, nil, Placed{Server: "a"}, Unreached{}), Place{Excluded: []string{"a"}}, "an attempt that was not sent costs no budget")
 	broken := lastActions(singleRun, 9, nil, Placed{Server: "a"}, Broken{})
 	require.Equal(t, failure.Unknown, broken[1].(Fail).Failure.Outcome)
 	denied := lastActions(singleRun, 0, nil, Placed{Server: "a"}, Refused{})
@@ -170,8 +170,8 @@
 func TestStreamResumesAfterLastEvent(t *testing.T) {
 	events := []Event{Placed{Server: "a"}, Opened{}, Arrived{ID: 1, HasID: true}, Arrived{ID: 3, HasID: true}, Broken{}, Placed{Server: "b"}}
 	require.Equal(t, []Action{Send{Resumes: true, After: 3}}, lastActions(twoRuns, 1, nil, events...))
-	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{})...), "the caller has a head already")
-	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "it has this event")
+	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{})...), "the caller already has a head")
+	require.Empty(t, lastActions(twoRuns, 1, nil, append(events, Opened{}, Arrived{ID: 3, HasID: true})...), "the caller already has this event")
 	require.Equal(t, []Action{Forward{}}, lastActions(twoRuns, 1, nil, append(events, Opened{}, Arrived{ID: 4, HasID: true})...))
 	after := int64(7)
 	require.Equal(t, []Action{Send{Resumes: true, After: 7}}, lastActions(twoRuns, 1, &after, Placed{Server: "a"}))
@@ -182,7 +182,7 @@
 	require.Contains(t, lastActions(twoRuns, 1, nil, append(events, Broken{})...), Deliver{})
 	require.Contains(t, lastActions(twoRuns, 1, nil, append(events, Expired{})...), Deliver{})
 	require.Equal(t, []Action{Deliver{}}, lastActions(twoRuns, 1, nil, append(events, Answered{})...))
-	require.Equal(t, []Action{Deliver{}}, lastActions(singleRun, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "it may have run")
+	require.Equal(t, []Action{Deliver{}}, lastActions(singleRun, 1, nil, Placed{Server: "a"}, Answered{Faulty: true}), "the attempt may have run")
 }
 
 func TestPlacementWaitIsBounded(t *testing.T) {
@@ -193,5 +193,5 @@
 	require.Equal(t, []Action{Place{Delay: placementRetryDelay}}, machine.Step(start.Add(40*time.Millisecond), Unplaced{}))
 	final := machine.Step(start.Add(60*time.Millisecond), Unplaced{})[0].(Fail).Failure
 	require.Equal(t, failure.NotRun, final.Outcome)
-	require.Equal(t, time.Second, final.RetryAfter, "the caller hears when to come back")
+	require.Equal(t, time.Second, final.RetryAfter, "the failure carries the retry delay")
 }
--- a/internal/fleet/era_test.go
+++ b/internal/fleet/era_test.go
@@ -64,21 +64,21 @@
 			}
 			for restoredAt := time.Now(); time.Since(restoredAt) < registrationTTL-time.Second; time.Sleep(100 * time.Millisecond) {
 				reader.ObserveNodes(store.Entries("nodes/"), time.Now())
-				require.Equal(t, nodes, reader.Nodes(), "nobody is taken for lost")
+				require.Equal(t, nodes, reader.Nodes(), "no node counts as lost")
 			}
-			require.Len(t, store.Entries("nodes/"), nodes, "each is registered again within its lease")
+			require.Len(t, store.Entries("nodes/"), nodes, "each node is registered again within the TTL")
 			peak := 0
 			for _, n := range counter.perSecond {
 				peak = max(peak, n)
 			}
-			require.LessOrEqual(t, peak, 3+2*nodes/int((registrationTTL/renewalsPerTTL).Seconds()), "they do not come in one second")
+			require.LessOrEqual(t, peak, 3+2*nodes/int((registrationTTL/renewalsPerTTL).Seconds()), "registrations are spread over time")
 			time.Sleep(2 * registrationTTL)
-			require.Len(t, store.Entries("nodes/"), nodes, "and stays so")
+			require.Len(t, store.Entries("nodes/"), nodes, "the registrations are kept")
 			// Take another node than the reader, which counts itself in any case.
 			others := slices.DeleteFunc(store.Entries("nodes/"), func(e coordination.Entry) bool { return e.Key == reader.registrationKey() })
 			require.Len(t, others, nodes-1)
 			reader.ObserveNodes(others[1:], time.Now())
-			require.Equal(t, nodes-1, reader.Nodes(), "who is lost later is")
+			require.Equal(t, nodes-1, reader.Nodes(), "a node that is lost later is not counted")
 		})
 	}
 }
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -43,13 +43,13 @@
 		time.Sleep(3 * registrationTTL)
 		down.Store(false)
 		time.Sleep(registrationTTL)
-		require.Equal(t, 3, count(), "registered anew after an outage that outlasted the leases")
+		require.Equal(t, 3, count(), "registered again after an outage longer than the TTL")
 		kill()
 		time.Sleep(registrationTTL)
 		require.Equal(t, 2, count())
 		stop()
 		synctest.Wait()
-		require.Empty(t, store.Entries("f/nodes/"), "a planned stop takes the registration back")
+		require.Empty(t, store.Entries("f/nodes/"), "a planned shutdown deregisters the node")
 		require.Equal(t, 1, count(), "a node counts itself")
 	})
 }
@@ -62,7 +62,7 @@
 	registry.ObserveDuties([]coordination.Entry{entry}, begin.Add(time.Second))
 	require.Equal(t, begin, registry.FirstSeen("f/state", entry.Position()))
 	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Revision: 5}))
-	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Era: 1, Revision: 4}), "the revision was given out again")
+	require.Zero(t, registry.FirstSeen("f/state", coordination.Position{Era: 1, Revision: 4}), "the restored store has used the revision again")
 	require.True(t, registry.Exists("f/state"))
 	registry.ObserveDuties(nil, begin)
 	require.False(t, registry.Exists("f/state"))
@@ -82,11 +82,11 @@
 	require.True(t, first.Bootstrapped())
 	restarted := newNode()
 	restarted.ObserveNodes([]coordination.Entry{other, {Key: "f/nodes/b/1"}}, begin)
-	require.True(t, restarted.Bootstrapped(), "the fleet is there already")
+	require.True(t, restarted.Bootstrapped(), "the fleet is already running")
 	unregistered := newNode()
 	unregistered.ObserveNodes(nil, begin)
 	unregistered.ObserveNodes(nil, begin.Add(maxBootstrapWait))
-	require.True(t, unregistered.Bootstrapped(), "it cannot register, and must serve all the same")
+	require.True(t, unregistered.Bootstrapped(), "a node that cannot register must serve all the same")
 }
 
 func TestRelaysAgreeAcrossNodesAndLocalZoneComesFirst(t *testing.T) {
@@ -108,15 +108,15 @@
 		ranks[registry.Rank()] = true
 		addresses := registry.RelayAddresses()
 		require.Len(t, addresses, minRelays)
-		require.Contains(t, addresses[0], "-"+zone+"-", "every zone has one of the first")
+		require.Contains(t, addresses[0], "-"+zone+"-", "every zone has a relay")
 		preferred[addresses[0]] = true
 		for _, address := range addresses {
 			relays[address] = true
 		}
 	}
-	require.Greater(t, len(preferred), 3, "nodes of one zone begin with different ones")
-	require.Len(t, ranks, 30, "every node has its own rank")
-	require.Len(t, relays, minRelays, "all agree on the first")
+	require.Greater(t, len(preferred), 3, "nodes of one zone prefer different relays")
+	require.Len(t, ranks, 30, "ranks are unique")
+	require.Len(t, relays, minRelays, "all nodes agree on the relays")
 }
 
 func TestKeyHasOneOwnerInItsZone(t *testing.T) {
@@ -144,7 +144,7 @@
 			owners[found[0]] = true
 		}
 	}
-	require.Greater(t, len(owners), 6, "things are spread over the first nodes")
+	require.Greater(t, len(owners), 6, "keys are spread over the relays")
 }
 
 func TestLargeNodesRelayWhenSufficient(t *testing.T) {
@@ -189,7 +189,7 @@
 func TestNodeInfoRoundTrip(t *testing.T) {
 	info := nodeInfo{address: "10.0.0.1:7340", zone: "a", cores: 0.192}
 	require.Equal(t, info, parseNodeInfo(info.String()))
-	require.Equal(t, nodeInfo{address: "10.0.0.1:7340", zone: "a"}, parseNodeInfo("10.0.0.1:7340 a"), "an earlier version told no room")
+	require.Equal(t, nodeInfo{address: "10.0.0.1:7340", zone: "a"}, parseNodeInfo("10.0.0.1:7340 a"), "an earlier version registered no cores")
 	require.Equal(t, nodeInfo{}, parseNodeInfo(""))
 	require.Equal(t, nodeInfo{address: "x", zone: "a"}, parseNodeInfo("x a much"))
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -69,7 +69,7 @@
 func (r *Registry) ObservePublishedView(encoded []byte, now time.Time) error {
 	var view View
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&view); err != nil {
-		return errors.Annotate(err, "the view of the fleet cannot be read; run the same version on all nodes")
+		return errors.Annotate(err, "cannot decode the published view of the fleet; run the same version on all nodes")
 	}
 	if view.Nodes <= 0 || len(view.First) == 0 {
 		return nil
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -48,7 +48,7 @@
 		node := rapid.SampledFrom(nodes).Draw(t, "node")
 		fullyInformed := newTestRegistry(node.Name, node.Zone, node.Cores)
 		fullyInformed.ObserveNodes(entries, time.Unix(1000, 0))
-		require.False(t, node.ObserveView(nil, 0), "who asks a node that knows nothing hears nothing")
+		require.False(t, node.ObserveView(nil, 0), "a node without a view sends nothing")
 		require.True(t, node.ObserveView(view, count))
 		require.Equal(t, fullyInformed.Nodes(), node.Nodes())
 		require.Equal(t, fullyInformed.Relays(), node.Relays())
@@ -61,9 +61,9 @@
 			require.Equal(t, fullyInformed.Ownership(), node.Ownership())
 		}
 		forwarded, _ := node.ViewIfChanged(0)
-		require.Equal(t, view.First, forwarded.First, "it is passed on as it was heard")
+		require.Equal(t, view.First, forwarded.First, "the view is forwarded unchanged")
 		unchanged, count := reader.ViewIfChanged(node.ViewDigest())
-		require.Nil(t, unchanged, "nothing is told twice")
+		require.Nil(t, unchanged, "the same view is not sent again")
 		require.Equal(t, len(entries), count)
 	})
 }
@@ -84,7 +84,7 @@
 			// At the start of a fleet, the first node finds no registrations yet.
 			node.ObserveStaleNodes(nil, begin)
 			view, count := node.ViewIfChanged(1)
-			require.Nil(t, view, "what may be old is not told")
+			require.Nil(t, view, "stale data is not passed on")
 			require.Zero(t, count)
 			node.ObserveFirstPage(page, begin)
 			require.Equal(t, node.Rank() >= viewRelayFactor*node.Relays(), node.OutsideView())
@@ -152,7 +152,7 @@
 			}
 			reader.ObserveNodes(entries, begin)
 			reader.publishIfChanged(t.Context())
-			require.Empty(t, published, "its place may change while the fleet gathers")
+			require.Empty(t, published, "ranks may change during the bootstrap")
 			reader.ObserveNodes(entries, begin.Add(bootstrapWait))
 			reader.publishIfChanged(t.Context())
 			reader.publishIfChanged(t.Context())
@@ -174,7 +174,7 @@
 			require.Equal(t, fullyInformed.Rank(), node.Rank())
 		}
 		view, count := node.ViewIfChanged(0)
-		require.Nil(t, view, "it tells others nothing that may be old")
+		require.Nil(t, view, "stale data is not passed on")
 		require.Zero(t, count)
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,7 +131,7 @@
 		if errors.As(err, &tooLarge) {
 			return failure.New(failure.KindTooLarge, "the body is longer than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes", "send a shorter one")
 		}
-		return failure.New(failure.KindInvalidRequest, "the body was cut off", "send the request again")
+		return failure.New(failure.KindInvalidRequest, "the body is truncated", "send the request again")
 	}
 	return handle(c)
 }
@@ -152,7 +152,7 @@
 func (gateway *Gateway) complete(c *call) error {
 	message := &engineapi.CompletionRequest{}
 	if err := json.Unmarshal(c.body, message); err != nil {
-		return failure.New(failure.KindInvalidRequest, "the body is not valid: "+err.Error(), "send a JSON object as the API describes it")
+		return failure.New(failure.KindInvalidRequest, "the body cannot be decoded: "+err.Error(), "send a JSON object that follows the API")
 	}
 	if message.Model == "" {
 		return failure.New(failure.KindInvalidRequest, "model is missing", "name a model that GET /v1/models lists")
@@ -205,7 +205,7 @@
 func (gateway *Gateway) forward(c *call) error {
 	service, route := c.snapshot.ServiceFor(c.tenant, c.request.Method, c.request.URL.Path)
 	if service == nil {
-		return failure.New(failure.KindNotFound, "there is nothing at this path", "use a declared route")
+		return failure.New(failure.KindNotFound, "no route matches this method and path", "use a declared route")
 	}
 	key := c.request.Header.Get(headerIdempotencyKey)
 	if len(key) > maxKeyLength {
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -12,7 +12,7 @@
 
 // errIdleTooLong reports that a connection has been idle for too long to be reused: the server
 // may be closing it.
-var errIdleTooLong = errors.New("the kept connection has rested for too long")
+var errIdleTooLong = errors.New("connection was idle for too long")
 
 // conn is a connection to a server that tracks how long it has been idle.
 type conn struct {
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -181,7 +181,7 @@
 		timeout.SetAdvertised(advertised)
 		require.Equal(t, advertised, timeout.Estimate(now))
 		timeout.ObserveClose(time.Millisecond, now)
-		require.Equal(t, advertised, timeout.Estimate(now), "one closing says nothing")
+		require.Equal(t, advertised, timeout.Estimate(now), "a single closing does not count")
 		for range maxClosings {
 			now = now.Add(time.Second)
 			timeout.ObserveClose(actual, now)
--- a/internal/kvservice/client.go
+++ b/internal/kvservice/client.go
@@ -41,11 +41,11 @@
 	var errorResponse ErrorResponse
 	response, err := sling.New().Client(client.http).Do(request.WithContext(ctx), result, &errorResponse)
 	if err != nil {
-		return failure.New(failure.KindUnavailable, "the key-value service gave no answer: "+err.Error(),
-			"check that it runs at "+client.base).WithOutcome(failure.Unknown)
+		return failure.New(failure.KindUnavailable, "the key-value service did not respond: "+err.Error(),
+			"check that it is running at "+client.base).WithOutcome(failure.Unknown)
 	}
 	if response.StatusCode != http.StatusOK {
-		return failure.New(failure.KindUnavailable, "the key-value service refused: "+errorResponse.Message,
+		return failure.New(failure.KindUnavailable, "the key-value service rejected the request: "+errorResponse.Message,
 			"wait until it accepts requests again").WithRetryAfter(time.Second)
 	}
 	return nil
@@ -105,14 +105,14 @@
 	}
 	response, err := client.http.Do(request.WithContext(ctx))
 	if err != nil {
-		return errors.Annotate(err, "the watch did not open; it is tried again")
+		return errors.Annotate(err, "cannot open the watch; it will be retried")
 	}
 	defer response.Body.Close()
 	decoder := json.NewDecoder(response.Body)
 	for {
 		var update WatchResponse
 		if err := decoder.Decode(&update); err != nil {
-			return errors.Annotate(err, "the watch ended; it is opened again")
+			return errors.Annotate(err, "the watch ended; it will be reopened")
 		}
 		for _, event := range update.Result.Events {
 			onChange(event.Kv)
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -265,7 +265,7 @@
 	var value Value
 	response, err := sling.New().Client(cluster.client).Get("http://" + address + path).ReceiveSuccess(&value)
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = errors.Errorf("%s%s answered %d", address, path, response.StatusCode)
+		err = errors.Errorf("%s%s returned status %d", address, path, response.StatusCode)
 	}
 	return value, err
 }
@@ -310,7 +310,7 @@
 	deadline := time.Now().Add(readyTimeout)
 	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errors.Errorf("the fleet did not become ready in %s; the first node printed:\n%s", readyTimeout, cluster.Nodes[0].Process.Output())
+			return errors.Errorf("fleet not ready after %s; output of the first node:\n%s", readyTimeout, cluster.Nodes[0].Process.Output())
 		}
 		time.Sleep(readyPollInterval)
 	}
--- a/internal/lab/enginestub/control.go
+++ b/internal/lab/enginestub/control.go
@@ -70,7 +70,7 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if order.Token < server.orderToken {
-		http.Error(writer, fmt.Sprintf("token %d is below %d", order.Token, server.orderToken), http.StatusConflict)
+		http.Error(writer, fmt.Sprintf("stale order token %d: the latest is %d", order.Token, server.orderToken), http.StatusConflict)
 		return
 	}
 	server.orderToken = order.Token
@@ -98,7 +98,7 @@
 	case "thaw":
 		server.SetFrozen(false)
 	default:
-		http.Error(writer, "unknown action "+strings.ToValidUTF8(action, "?"), http.StatusNotFound)
+		http.Error(writer, "unknown control action "+strings.ToValidUTF8(action, "?"), http.StatusNotFound)
 	}
 }
 
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -38,7 +38,7 @@
 // WritePage writes the report as an HTML page with plots into a directory.
 func WritePage(directory string, report Report) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return errors.Annotate(err, "name a folder that can be written")
+		return errors.Annotate(err, "cannot create the report directory; choose a writable path")
 	}
 	if err := drawRecomputed(filepath.Join(directory, "recomputed.png"), report); err != nil {
 		return err
--- a/internal/lab/experiment/profile.go
+++ b/internal/lab/experiment/profile.go
@@ -146,5 +146,5 @@
 			return profile, nil
 		}
 	}
-	return Profile{}, errors.Errorf("%q is not a profile; use kuusisto, dakar or plan", name)
+	return Profile{}, errors.Errorf("unknown profile %q; use kuusisto, dakar or plan", name)
 }
--- a/internal/lab/faults/inject.go
+++ b/internal/lab/faults/inject.go
@@ -39,7 +39,7 @@
 	begin := time.Now()
 	attempts := []string{}
 	if err := run.cluster.StartNode(node); err != nil {
-		run.recordViolation("a node did not start: %v", err)
+		run.recordViolation("cannot restart a node: %v", err)
 		return
 	}
 	for time.Since(begin) < settleTime {
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(pollInterval / 5)
 	}
-	run.recordViolation("a restarted node gave no answer within %s", settleTime)
+	run.recordViolation("a restarted node served no request within %s", settleTime)
 }
 
 func (run *run) killNode(ctx context.Context) {
@@ -70,7 +70,7 @@
 	process := run.cluster.Nodes[node].Process
 	process.Signal(syscall.SIGTERM)
 	if !process.Wait(20 * time.Second) {
-		run.recordViolation("a planned stop did not end")
+		run.recordViolation("a graceful shutdown did not finish in time")
 		process.Kill()
 	}
 	endDisruption := run.beginDisruption(node)
@@ -116,7 +116,7 @@
 	engine.Process.Kill()
 	pause.For(ctx, restartDelay)
 	if err := run.cluster.StartEngine(engine); err != nil {
-		run.recordViolation("an engine did not start: %v", err)
+		run.recordViolation("cannot restart an engine: %v", err)
 	}
 }
 
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -169,17 +169,17 @@
 		do   func(context.Context)
 	}{
 		{"kill a node", run.killNode},
-		{"stop a node as planned", run.stopNode},
+		{"shut down a node gracefully", run.stopNode},
 		{"freeze a node", run.freezeNode},
 		{"restart all nodes at once", run.restartAllNodes},
-		{"crash an engine under its address", run.crashEngine},
+		{"restart an engine at its address", run.crashEngine},
 		{"kill an engine", run.killEngine},
 		{"freeze an engine", run.freezeEngine},
-		{"an engine leaves and comes back", run.drainEngine},
+		{"drain and readmit an engine", run.drainEngine},
 		{"key-value service outage", run.keyValueOutage},
-		{"key-value service loses answers", run.keyValueDropsResponses},
-		{"operators race", run.raceOperators},
-		{"a server answers nothing", run.dropResponse},
+		{"key-value service drops responses", run.keyValueDropsResponses},
+		{"concurrent operator changes", run.raceOperators},
+		{"a server drops a response", run.dropResponse},
 	}
 	order := run.random.Perm(len(faults))
 	for index := 0; ctx.Err() == nil; index++ {
@@ -222,7 +222,7 @@
 	for _, server := range run.cluster.Servers {
 		log, err := cluster.Fetch[[]plainstub.Execution](run.cluster, server.Address, "/control/log")
 		if err != nil {
-			run.recordViolation("a server's log cannot be read: %v", err)
+			run.recordViolation("cannot read the log of a server: %v", err)
 		}
 		all = append(all, log...)
 	}
--- a/internal/lab/faults/verdict.go
+++ b/internal/lab/faults/verdict.go
@@ -36,7 +36,7 @@
 		run.checkDrainedEngines(),
 		run.checkRevisions(),
 		run.checkRestarts(),
-		{Guarantee: "the run itself", Checked: 1, Violations: run.violations},
+		{Guarantee: "the run completed without errors", Checked: 1, Violations: run.violations},
 	}
 }
 
@@ -51,21 +51,21 @@
 }
 
 func (run *run) checkResponses() Verdict {
-	verdict := Verdict{Guarantee: "every answer is whole, in order and its own"}
+	verdict := Verdict{Guarantee: "every response is complete, in order and belongs to its request"}
 	for _, record := range run.generator.History {
 		verdict.Checked++
 		switch {
 		case record.ConnectionBroken && !run.wasDisrupted(record):
-			verdict.addViolation("%s on node %d broke off at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
+			verdict.addViolation("%s on node %d: connection broke at %s", record.ID, record.Node, record.Ended.Format("15:04:05.000"))
 		case !record.ConnectionBroken && record.Status == 200 && (!record.Complete || !record.Correct):
-			verdict.addViolation("%s on node %d: complete %v, right %v", record.ID, record.Node, record.Complete, record.Correct)
+			verdict.addViolation("%s on node %d: complete %v, correct %v", record.ID, record.Node, record.Complete, record.Correct)
 		}
 	}
 	return verdict
 }
 
 func (run *run) checkAtMostOnce() Verdict {
-	verdict := Verdict{Guarantee: "what may not be repeated runs at most once"}
+	verdict := Verdict{Guarantee: "non-idempotent requests run at most once"}
 	runs := map[string]int{}
 	for _, execution := range run.plainExecutions() {
 		runs[strings.TrimPrefix(execution.Body, "turn ")]++
@@ -88,17 +88,17 @@
 	for id, wasAnswered := range answered {
 		verdict.Checked++
 		if wasAnswered && runs[id] != 1 {
-			verdict.addViolation("%s was answered but ran %d times", id, runs[id])
+			verdict.addViolation("%s succeeded but ran %d times", id, runs[id])
 		}
 		if rejected[id] && runs[id] > 0 {
-			verdict.addViolation("%s was refused as not run but ran", id)
+			verdict.addViolation("%s was rejected as not run but ran", id)
 		}
 	}
 	return verdict
 }
 
 func (run *run) checkNotRun() Verdict {
-	verdict := Verdict{Guarantee: "a refusal that says not-run is true"}
+	verdict := Verdict{Guarantee: "a request rejected as not-run did not run"}
 	started := map[string]bool{}
 	for _, execution := range run.executions {
 		started[execution.User] = true
@@ -116,7 +116,7 @@
 }
 
 func (run *run) checkRejections() Verdict {
-	verdict := Verdict{Guarantee: "a refusal has its outcome and when to come back"}
+	verdict := Verdict{Guarantee: "a rejection has an outcome and a retry time"}
 	for _, record := range run.generator.History {
 		if record.Status < 429 || record.ConnectionBroken {
 			continue
@@ -124,7 +124,7 @@
 		verdict.Checked++
 		inStream := record.Kind == load.Streaming && record.FirstToken > 0
 		if record.Outcome == "" || (record.RetryAfter == "" && !inStream) {
-			verdict.addViolation("%s: status %d, outcome %q, retry after %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
+			verdict.addViolation("%s: status %d, outcome %q, Retry-After %q", record.ID, record.Status, record.Outcome, record.RetryAfter)
 		}
 	}
 	return verdict
@@ -145,7 +145,7 @@
 		verdict.Checked++
 		owner := tenant + " " + execution.Model + " " + execution.Version
 		if first, seen := owners[execution.Salt]; seen && first != owner {
-			verdict.addViolation("one salt serves %s and %s", first, owner)
+			verdict.addViolation("the same cache salt is used by %s and %s", first, owner)
 		}
 		owners[execution.Salt] = owner
 	}
@@ -153,13 +153,13 @@
 }
 
 func (run *run) checkDrainedEngines() Verdict {
-	verdict := Verdict{Guarantee: "a leaving engine gets nothing new after 2 s"}
+	verdict := Verdict{Guarantee: "a drained engine receives no new requests after 2 s"}
 	for _, drain := range run.drains {
 		verdict.Checked++
 		for _, execution := range run.executions {
 			onEngine := strings.HasSuffix(execution.Attempt, "@"+drain.engine)
 			if onEngine && execution.At.After(drain.from) && execution.At.Before(drain.until) {
-				verdict.addViolation("%s got %s at %s", drain.engine, execution.User, execution.At.Format("15:04:05.000"))
+				verdict.addViolation("%s received %s at %s", drain.engine, execution.User, execution.At.Format("15:04:05.000"))
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 func (run *run) checkRevisions() Verdict {
-	verdict := Verdict{Guarantee: "accepted changes are in force everywhere in 3 s, and never go down"}
+	verdict := Verdict{Guarantee: "accepted changes reach all nodes within 3 s, and revisions never decrease"}
 	accepted := map[string]bool{}
 	for _, change := range run.changes {
 		verdict.Checked++
@@ -180,14 +180,14 @@
 	}
 	for _, id := range run.rejectedChanges {
 		if accepted[id] {
-			verdict.addViolation("change %s was both accepted and refused", id)
+			verdict.addViolation("change %s was both accepted and rejected", id)
 		}
 	}
 	return verdict
 }
 
 func (run *run) checkRestarts() Verdict {
-	verdict := Verdict{Guarantee: "a restarted node answers within 1 s", Checked: len(run.restarts)}
+	verdict := Verdict{Guarantee: "a restarted node serves within 1 s", Checked: len(run.restarts)}
 	sort.Slice(run.restarts, func(i, j int) bool { return run.restarts[i].elapsed < run.restarts[j].elapsed })
 	if count := len(run.restarts); count > 0 {
 		fmt.Fprintf(run.config.Output, "process start to first token: median %s, slowest %s of %d\n",
@@ -218,7 +218,7 @@
 				continue
 			}
 			if processes[node] == any(process) && status.Revision < highest[node] {
-				run.recordViolation("node %d went from revision %d down to %d", node, highest[node], status.Revision)
+				run.recordViolation("node %d: revision decreased from %d to %d", node, highest[node], status.Revision)
 			}
 			processes[node], highest[node] = process, status.Revision
 		}
--- a/internal/lab/faultwire/forwarder.go
+++ b/internal/lab/faultwire/forwarder.go
@@ -53,7 +53,7 @@
 func New(target string) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Annotate(err, "no free port on loopback")
+		return nil, errors.Annotate(err, "cannot listen on loopback")
 	}
 	f := &Forwarder{listener: listener, target: target, connections: map[*net.TCPConn]bool{}}
 	f.changed = sync.NewCond(&f.mutex)
--- a/internal/lab/faultwire/forwarder_test.go
+++ b/internal/lab/faultwire/forwarder_test.go
@@ -57,10 +57,10 @@
 
 	forwarder.SetMode(ModeHoldResponses)
 	send("b")
-	require.Equal(t, "b", <-lines, "requests pass")
+	require.Equal(t, "b", <-lines, "requests are forwarded")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err = responses.ReadString('\n')
-	require.Error(t, err, "answers do not")
+	require.Error(t, err, "responses are withheld")
 	require.NoError(t, c.SetReadDeadline(time.Time{}))
 	forwarder.SetMode(ModeForward)
 	require.Equal(t, "b\n", receive())
--- a/internal/lab/inprocess/atmostonce_test.go
+++ b/internal/lab/inprocess/atmostonce_test.go
@@ -80,11 +80,11 @@
 	require.NoError(t, err)
 	for range 40 {
 		for index, key := range keys {
-			require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key), "a duplicate does not run")
+			require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key), "duplicates are rejected")
 		}
 	}
 	run(8)
-	require.NoError(t, fleet.Await(func() bool { return len(fleet.Nodes[0].Snapshot().Declaration.Claims.Previous) == 0 }), "the change is settled")
+	require.NoError(t, fleet.Await(func() bool { return len(fleet.Nodes[0].Snapshot().Declaration.Claims.Previous) == 0 }), "the holder change is complete")
 	for index, key := range keys {
 		require.NotEqual(t, http.StatusOK, send(index%4, key, "turn "+key))
 		require.Equal(t, 1, fleet.countExecutions("turn "+key))
--- a/internal/lab/inprocess/configuration_test.go
+++ b/internal/lab/inprocess/configuration_test.go
@@ -61,8 +61,8 @@
 		response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "after", 3, false))
 		defer response.Body.Close()
 		return response.StatusCode == http.StatusOK
-	}), "the engines are ordered to load the new version")
-	require.LessOrEqual(t, fleet.Weights.Peak(), loadsAtOnce, "the store is not asked by more engines than declared")
+	}), "engines are ordered to load the new version")
+	require.LessOrEqual(t, fleet.Weights.Peak(), loadsAtOnce, "at most loadsAtOnce engines load weights concurrently")
 }
 
 func TestDrainedEngineReceivesNoRequestsUntilReadmitted(t *testing.T) {
--- a/internal/lab/inprocess/engine_test.go
+++ b/internal/lab/inprocess/engine_test.go
@@ -55,7 +55,7 @@
 	require.NoError(t, fleet.Await(func() bool {
 		require.Equal(t, http.StatusOK, send(0, uuid.NewString()))
 		return fleet.Nodes[1].UsableEngines("main") == 1
-	}), "the other node hears of it without having tried")
+	}), "the other node learns of the failure without contacting the engine")
 }
 
 func TestUnresponsiveEngineIsAbandoned(t *testing.T) {
--- a/internal/lab/inprocess/fleet.go
+++ b/internal/lab/inprocess/fleet.go
@@ -250,7 +250,7 @@
 func (fleet *Fleet) Await(condition func() bool) error {
 	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			return errors.Errorf("the condition did not come to hold; %s", fleet.endedNodes())
+			return errors.Errorf("timed out waiting for the condition; %s", fleet.endedNodes())
 		}
 	}
 	return nil
@@ -258,7 +258,7 @@
 
 // endedNodes describes which nodes have stopped, with their errors.
 func (fleet *Fleet) endedNodes() string {
-	description := "nodes that ended:"
+	description := "stopped nodes:"
 	for index, running := range fleet.Nodes {
 		select {
 		case <-running.done:
--- a/internal/lab/inprocess/fleet_test.go
+++ b/internal/lab/inprocess/fleet_test.go
@@ -168,7 +168,7 @@
 		return response.StatusCode == http.StatusServiceUnavailable
 	}))
 	response := post(t, fleet.URL(0), Key(Tenant), "/v1/completions", nil, completionBody(t, "late", 1, false))
-	require.True(t, response.Close, "kept connections end by agreement before the node does")
+	require.True(t, response.Close, "keep-alive connections are closed before the node stops")
 	_ = response.Body.Close()
 	done.Wait()
 	<-stopped
--- a/internal/lab/inprocess/index_test.go
+++ b/internal/lab/inprocess/index_test.go
@@ -45,7 +45,7 @@
 	require.NoError(t, fleet.Await(func() bool {
 		fleet.Engines[0].Crash()
 		answer := sendCompletion(t, fleet, prompt)
-		require.Zero(t, answer.Usage.Details.CachedTokens, "nothing of another identity is used")
+		require.Zero(t, answer.Usage.Details.CachedTokens, "blocks of another identity are not used")
 		return fleet.PrefixStoreStub.FetchedBlocks() > 0
 	}))
 }
@@ -78,7 +78,7 @@
 			indexed += running.IndexBlocks()
 		}
 		return indexed == blocks
-	}), "each anchor is known at its home and nowhere else")
+	}), "each anchor is indexed by its owner only")
 	for node := range fleet.Nodes {
 		for _, prompt := range prompts {
 			require.Positive(t, send(node, prompt).Details.CachedTokens)
--- a/internal/lab/load/summary.go
+++ b/internal/lab/load/summary.go
@@ -60,9 +60,9 @@
 	columns := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	row := func(name string, value any) { fmt.Fprintf(columns, "%s\t%v\n", name, value) }
 	row("requests", summary.Requests)
-	row("answered whole and right", summary.Answered)
-	row("wrong or incomplete", summary.Incorrect)
-	row("connection broke", summary.Broken)
+	row("complete and correct", summary.Answered)
+	row("incorrect or incomplete", summary.Incorrect)
+	row("connection broken", summary.Broken)
 	row("prefix hit rate", fmt.Sprintf("%.1f %%", 100*summary.HitRate))
 	row("recomputed tokens", summary.RecomputedTokens)
 	for _, quantile := range []float64{50, 95, 99} {
--- a/internal/lab/storestub/store.go
+++ b/internal/lab/storestub/store.go
@@ -27,7 +27,7 @@
 	FaultLostResponse
 )
 
-var errUnavailable = errors.New("the store gave no answer")
+var errUnavailable = errors.New("store did not respond")
 
 // lease is a lease with its time to live and expiry.
 type lease struct {
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -269,7 +269,7 @@
 		case <-ticker.C:
 		case result := <-results:
 			if result.err == nil && !result.alive {
-				return "the lease ended"
+				return "the lease no longer exists"
 			}
 			if result.err == nil {
 				leader.leadership.Renewed(result.sentAt)
@@ -277,12 +277,12 @@
 			}
 		case <-ctx.Done():
 			elector.resign(leader)
-			return "this node stops"
+			return "this node is shutting down"
 		}
 		if era, _ := elector.Eras.State(); era != leader.keyPosition.Era {
 			// In the new era the key and the lease are gone, or belong to another node.
 			elector.lastLeaderEra, elector.lastActFrom = era, leader.leadership.actFrom
-			return "the store has gone back"
+			return "the store was restored from a backup"
 		}
 		if leader.leadership.Superseded() {
 			elector.resign(leader)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -148,7 +148,7 @@
 		before, after := fleet.actions[index-1], fleet.actions[index]
 		require.GreaterOrEqual(t, after.token, before.token)
 		if before.node != after.node {
-			require.Greater(t, after.token, before.token, "no two holders have one token")
+			require.Greater(t, after.token, before.token, "no two leaders have the same token")
 			require.GreaterOrEqual(t, after.at.Sub(before.at), handoverDelay)
 		}
 	}
@@ -164,7 +164,7 @@
 		synctest.Test(test, func(*testing.T) { fleet.runWithFaults(faults, deaths) })
 		fleet.checkActions(t)
 		require.NotEmpty(t, fleet.actions)
-		require.Equal(t, "survivor", fleet.last().node, "the duty is taken over")
+		require.Equal(t, "survivor", fleet.last().node, "the survivor becomes leader")
 	})
 }
 
@@ -255,7 +255,7 @@
 		fleet.start(ctx, "b", firstSeen)
 		time.Sleep(time.Second)
 		fleet.checkActions(t)
-		require.Less(t, fleet.last().at.Sub(resignedAt), 2*time.Second, "no need to wait")
+		require.Less(t, fleet.last().at.Sub(resignedAt), 2*time.Second, "no handover delay is needed")
 		require.Equal(t, "b", fleet.last().node)
 	})
 }
@@ -287,7 +287,7 @@
 		require.False(t, fleet.last().at.After(resumedAt))
 		unavailable.Store(false)
 		time.Sleep(time.Second)
-		require.True(t, fleet.last().at.After(resumedAt), "the lease never lapsed")
+		require.True(t, fleet.last().at.After(resumedAt), "the lease never expired")
 	})
 }
 
@@ -345,10 +345,10 @@
 		fleet.start(ctx, "b", nil)
 		lost.Store(true)
 		time.Sleep(2 * ttl)
-		require.True(t, fleet.last().at.Before(time.Now().Add(-ttl/2)), "it does not act on what it cannot know")
+		require.True(t, fleet.last().at.Before(time.Now().Add(-ttl/2)), "it does not act without a confirmed lease")
 		lost.Store(false)
 		time.Sleep(time.Second)
-		require.Equal(t, "a", fleet.last().node, "its lease never ended")
+		require.Equal(t, "a", fleet.last().node, "its lease never expired")
 		require.True(t, fleet.last().at.After(time.Now().Add(-ttl/2)))
 		fleet.checkActions(t)
 	})
@@ -370,7 +370,7 @@
 		for _, action := range fleet.actions {
 			require.False(t, action.token == fenced && action.at.After(refusedAt), "%s", action.at.Sub(refusedAt))
 		}
-		require.Greater(t, fleet.last().token, fenced, "it takes the duty over anew")
+		require.Greater(t, fleet.last().token, fenced, "it becomes leader again with a new token")
 	})
 }
 
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -55,7 +55,7 @@
 				network.Run(3 * time.Second)
 				for _, node := range network.Nodes {
 					if node.Revision < revision {
-						b.Fatalf("a node is still at revision %d", node.Revision)
+						b.Fatalf("a node is still at revision %d after 3 s", node.Revision)
 					}
 					slowest = max(slowest, node.ActivatedAt.Sub(start))
 				}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,7 +14,7 @@
 func TestNoFalseDeathsAtTwentyPercentLoss(t *testing.T) {
 	network := newNetwork(Config{Nodes: 60, Seed: 1, Zones: 3, Delay: time.Millisecond, Loss: 0.2})
 	network.Run(3 * time.Minute)
-	require.Zero(t, network.Changes[membership.Dead], "nobody that lives is declared dead")
+	require.Zero(t, network.Changes[membership.Dead], "no live node must be declared dead")
 }
 
 func TestFailureReachesAllNodes(t *testing.T) {
@@ -82,7 +82,7 @@
 	network.ActivateRevision(1, 1)
 	network.Run(3 * time.Second)
 	for _, node := range network.Nodes {
-		require.True(t, !node.Up || node.Revision == 1, "a change still reaches all that live in 3 s")
+		require.True(t, !node.Up || node.Revision == 1, "a revision must reach all live nodes in 3 s")
 	}
 	network.Run(50 * time.Second)
 	dead := func(member membership.Member) bool {
@@ -141,7 +141,7 @@
 			}
 			network.Run(time.Duration(rapid.IntRange(100, 2000).Draw(t, "milliseconds")) * time.Millisecond)
 			for index, node := range network.Nodes {
-				require.GreaterOrEqual(t, node.Revision, highest[index], "revisions never go down")
+				require.GreaterOrEqual(t, node.Revision, highest[index], "a node's revision must not decrease")
 				highest[index] = node.Revision
 			}
 		}
@@ -151,7 +151,7 @@
 		}
 		network.Run(30 * time.Second)
 		for _, node := range network.Nodes {
-			require.Equal(t, revision, node.Revision, "all converge once a path exists")
+			require.Equal(t, revision, node.Revision, "all nodes must converge once the partition has healed")
 		}
 	})
 }
@@ -187,6 +187,6 @@
 		}
 		rates[nodes] = float64(sent) / float64(nodes) / 30
 	}
-	t.Logf("bytes a second and node sent: %.0f with 10 nodes, %.0f with 340", rates[10], rates[340])
+	t.Logf("bytes sent per node and second: %.0f with 10 nodes, %.0f with 340", rates[10], rates[340])
 	require.Less(t, rates[340], 1.3*rates[10])
 }
--- a/internal/node/active_config.go
+++ b/internal/node/active_config.go
@@ -67,14 +67,14 @@
 	snapshot, err := version.Compile()
 	if err != nil {
 		activeConfig.metrics.ConfigurationErrors.Inc()
-		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be read")
+		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled")
 		return false
 	}
 	activeConfig.beforeActivate(snapshot)
 	activeConfig.version.Store(version)
 	activeConfig.snapshot.Store(snapshot)
 	activeConfig.metrics.Revision.Set(float64(version.Revision))
-	activeConfig.log.Info().Int64("revision", version.Revision).Str("change", version.Manifest.ChangeID).Msg("configuration in force")
+	activeConfig.log.Info().Int64("revision", version.Revision).Str("change", version.Manifest.ChangeID).Msg("configuration activated")
 	activeConfig.afterActivate(snapshot)
 	if newParts > largeChangeParts {
 		// Decoding a whole configuration leaves garbage of several times its size,
--- a/internal/node/active_config_test.go
+++ b/internal/node/active_config_test.go
@@ -22,7 +22,7 @@
 	active := &activeConfig{log: zerolog.Nop(), metrics: metrics.New()}
 	order := []string{}
 	active.beforeActivate = func(snapshot *configuration.Snapshot) {
-		require.NotEqual(t, snapshot, active.snapshot.Load(), "nobody sees it yet")
+		require.NotEqual(t, snapshot, active.snapshot.Load(), "the snapshot is not visible yet")
 		order = append(order, "prepare")
 	}
 	active.afterActivate = func(snapshot *configuration.Snapshot) {
@@ -36,7 +36,7 @@
 func TestActivateRequiresHigherRevision(t *testing.T) {
 	ignore := func(*configuration.Snapshot) {}
 	active := &activeConfig{log: zerolog.Nop(), metrics: metrics.New(), minRevision: 3, beforeActivate: ignore, afterActivate: ignore}
-	require.False(t, active.activate(newVersion(t, 2)), "below the floor")
+	require.False(t, active.activate(newVersion(t, 2)), "below the minimum revision")
 	require.True(t, active.activate(newVersion(t, 5)))
 	require.False(t, active.activate(newVersion(t, 5)))
 	require.False(t, active.activate(newVersion(t, 4)))
--- a/internal/node/claim_recovery.go
+++ b/internal/node/claim_recovery.go
@@ -89,7 +89,7 @@
 		return
 	}
 	node.claims.holder.Join(boottime.Now(), records, complete >= len(state.previousHolders)-1)
-	node.log.Info().Int("claims", len(records)).Msg("claims taken over from the holders before")
+	node.log.Info().Int("claims", len(records)).Msg("claims taken over from the former holders")
 }
 
 // recoverFromHolders copies the claims of all other holders if each of them is
@@ -138,7 +138,7 @@
 	}
 	settled, err := node.activeConfig.store.CompleteHolderChange(ctx, version, uuid.NewString())
 	if err != nil {
-		node.log.Warn().Err(err).Msg("the change of claim holders is not settled yet")
+		node.log.Warn().Err(err).Msg("change of claim holders not completed; retrying")
 		return
 	}
 	node.activeConfig.activate(settled)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -140,7 +140,7 @@
 			outcome = failure.Ran
 		}
 		return nil, failure.New(failure.KindDuplicate, "a request with this idempotency key was accepted before",
-			"look at the outcome of the first send; a new request needs a new key").WithOutcome(outcome)
+			"check the outcome of the first request; a new request needs a new key").WithOutcome(outcome)
 	default:
 		handle.Release()
 		return nil, failure.New(failure.KindClaimUnavailable, "too few claim holders answered",
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -133,7 +133,7 @@
 		}
 		if ctx.Err() != nil || !p.mayRecover(reason) {
 			return dispatch.Target{}, failure.New(failure.KindNoEndpoint, "no engine can take the request now ("+string(reason)+")",
-				"send it again after the time given").WithRetryAfter(noEndpointRetryAfter)
+				"retry after the given delay").WithRetryAfter(noEndpointRetryAfter)
 		}
 		select {
 		case <-time.After(placementRetryInterval):
@@ -152,7 +152,7 @@
 	}
 	if p.completion.EmittedText() != "" && model.Version != p.version {
 		// A response must not mix the text of two model versions.
-		return nil, "", failure.New(failure.KindStreamBroken, "the model's version changed while the answer was written", "send the request again").
+		return nil, "", failure.New(failure.KindStreamBroken, "the model's version changed during the response", "send the request again").
 			WithRetryAfter(noEndpointRetryAfter)
 	}
 	p.pools = pools
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -130,7 +130,7 @@
 func (node *Node) AdmitTenant(ctx context.Context, tenant *configuration.Tenant) (done func(), err error) {
 	state := node.limits.tenant(tenant.Name)
 	if !node.spendToken(ctx, tenant, state) {
-		return nil, failure.New(failure.KindRateLimited, "the tenant's request rate is used up", "send fewer requests, or ask for a higher limit").
+		return nil, failure.New(failure.KindRateLimited, "the tenant's request rate is exceeded", "send fewer requests, or ask for a higher limit").
 			WithRetryAfter(max(time.Second, time.Duration(float64(time.Second)/tenant.Limits.RequestsPerSecond)))
 	}
 	state.mutex.Lock()
@@ -208,4 +208,4 @@
 }
 
 // errUnknownTenant reports that a tenant's token issuer does not know the tenant yet.
-var errUnknownTenant = errors.New("the tenant's ledger does not know it yet; wait until all nodes have the configuration")
+var errUnknownTenant = errors.New("the tenant's token issuer does not know the tenant yet; wait until all nodes have the configuration")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 	}
 	node.gossip.onChange = node.memberChanged
 	if node.peers, err = net.Listen("tcp", nodeSettings.PeerAddress); err != nil {
-		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
+		return nil, errors.Annotate(err, "cannot listen on the peer address; choose a free port")
 	}
 	return node, nil
 }
@@ -194,7 +194,7 @@
 func (node *Node) listen(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "address %s cannot be used; choose a free port", address)
+		return nil, errors.Annotatef(err, "cannot listen on %s; choose a free port", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(listener) }()
@@ -242,7 +242,7 @@
 // recoverFromPause discards state after a pause of this process, since other nodes
 // may have taken over what it owned.
 func (node *Node) recoverFromPause() {
-	node.log.Warn().Msg("this process was paused; it starts over as a member")
+	node.log.Warn().Msg("process was paused; rejoining the fleet")
 	node.lifecycle.suspend()
 	node.claims.restart(boottime.Now())
 	node.indexPartition.reset()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,14 +18,14 @@
 func TestPartitionRequestsFullUpdateAfterGap(t *testing.T) {
 	partition := newIndexPartition()
 	now := time.Unix(0, 0)
-	require.True(t, partition.apply(newUpdate(5, false, 1), now).NeedAll, "a new home knows nothing of what came before")
+	require.True(t, partition.apply(newUpdate(5, false, 1), now).NeedAll, "a new partition lacks earlier updates")
 	require.False(t, partition.apply(newUpdate(6, true, 1), now).NeedAll)
 	require.False(t, partition.apply(newUpdate(7, false, 2), now).NeedAll)
-	require.True(t, partition.apply(newUpdate(9, false, 3), now).NeedAll, "update 8 was missed")
+	require.True(t, partition.apply(newUpdate(9, false, 3), now).NeedAll, "update 8 is missing")
 	require.Equal(t, 2, partition.blocks())
 	other := newUpdate(8, false, 4)
 	other.Reader = "another reader"
-	require.True(t, partition.apply(other, now).NeedAll, "a new reader starts afresh")
+	require.True(t, partition.apply(other, now).NeedAll, "a new observer must send a full update first")
 }
 
 func TestUnresponsivePeerOpensBreakerAndIsProbed(t *testing.T) {
@@ -38,7 +38,7 @@
 	require.False(t, health.allows("p", now))
 	later := now.Add(peerBreaker.OpenDuration)
 	require.True(t, health.allows("p", later))
-	require.False(t, health.allows("p", later), "one call probes")
+	require.False(t, health.allows("p", later), "only one call is sent as a probe")
 	health.record("p", false, later)
 	require.True(t, health.allows("p", later))
 }
@@ -60,7 +60,7 @@
 	lifecycle.markUnready()
 	require.False(t, lifecycle.ready())
 	later, refusal := lifecycle.begin()
-	require.Nil(t, refusal, "an unready node still serves who comes")
+	require.Nil(t, refusal, "an unready node still accepts requests")
 	lifecycle.reject()
 	_, refusal = lifecycle.begin()
 	require.NotNil(t, refusal)
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -225,7 +225,7 @@
 
 func (node *Node) publishRecord(previous, next endpoint.Record) {
 	node.log.Info().Str("backend", next.Name).Bool("down", next.Down).Bool("leaving", next.Leaving).
-		Bool("restarted", previous.Epoch != "" && previous.Epoch != next.Epoch).Msg("back end changed")
+		Bool("restarted", previous.Epoch != "" && previous.Epoch != next.Epoch).Msg("backend state changed")
 	node.table.Merge(next)
 	node.gossip.offerRecord(next)
 }
--- a/internal/node/order_issuer.go
+++ b/internal/node/order_issuer.go
@@ -29,9 +29,9 @@
 	for ctx.Err() == nil {
 		if node.rankInFleet() < maxCandidates {
 			if lease, token, leaseStart, won := node.campaign(ctx); won {
-				node.log.Info().Int64("token", token).Msg("this node issues orders")
+				node.log.Info().Int64("token", token).Msg("acquired the order issuer lease")
 				node.runIssuer(ctx, lease, token, leaseStart)
-				node.log.Info().Int64("token", token).Msg("this node issues orders no longer")
+				node.log.Info().Int64("token", token).Msg("no longer the order issuer")
 			}
 		}
 		select {
@@ -116,7 +116,7 @@
 			orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 			defer cancel()
 			if err := node.engines.Order(orderCtx, address, send.Order); err != nil {
-				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("order not taken")
+				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("order not accepted")
 			}
 		}()
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -57,7 +57,7 @@
 func callPeer[Answer any](ctx context.Context, node *Node, address string, request any) (Answer, error) {
 	var none Answer
 	if !node.peerHealth.allows(address, boottime.Now()) {
-		return none, errors.Errorf("%s did not answer lately", address)
+		return none, errors.Errorf("circuit breaker open for peer %s", address)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,7 +68,7 @@
 	}
 	response, ok := received.(Answer)
 	if !ok {
-		return none, errors.Errorf("unexpected answer %T from %s; run the same version on all nodes", received, address)
+		return none, errors.Errorf("unexpected response %T from %s; run the same version on all nodes", received, address)
 	}
 	return response, nil
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -76,7 +76,7 @@
 	decision := scheduler.Schedule(&routing.Request{}, candidates)
 	if decision.Index < 0 {
 		return plain.Server{}, failure.New(failure.KindNoEndpoint, "no server can take the request now ("+string(decision.LastRejection)+")",
-			"send it again after the time given").WithRetryAfter(noEndpointRetryAfter)
+			"retry after the given delay").WithRetryAfter(noEndpointRetryAfter)
 	}
 	chosen := candidates[decision.Index]
 	chooser.node.table.Begin(chosen.Endpoint, 0, now)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -10,7 +10,7 @@
 )
 
 func (node *Node) drain(server *http.Server) {
-	node.log.Info().Int("open", node.lifecycle.openRequests()).Msg("node drains")
+	node.log.Info().Int("open", node.lifecycle.openRequests()).Msg("node draining")
 	node.lifecycle.markUnready()
 	node.gossip.apply((*membership.Machine).Drain)
 	time.Sleep(node.settings.DrainNotice)
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -30,7 +30,7 @@
 			return nil, err
 		}
 		if base == nil {
-			return nil, failure.New(failure.KindNotConfigured, "nothing is declared yet", "apply a declaration first")
+			return nil, failure.New(failure.KindNotConfigured, "no declaration has been applied yet", "apply a declaration first")
 		}
 		declaration, err := configstore.Join(base.Parts)
 		if err != nil {
@@ -68,7 +68,7 @@
 
 func drain(declaration *configuration.Declaration, name string) error {
 	if !declaration.HasBackend(name) {
-		return notFound("back end", name, "show engines")
+		return notFound("declared backend", name, "show engines")
 	}
 	for _, drained := range declaration.Draining {
 		if drained == name {
@@ -87,7 +87,7 @@
 		}
 	}
 	if len(remaining) == len(declaration.Draining) {
-		return failure.New(failure.KindNotFound, name+" is not draining by command", "see `show engines where state = draining`")
+		return failure.New(failure.KindNotFound, name+" is not drained by a command", "see `show engines where state = draining`")
 	}
 	declaration.Draining = remaining
 	return nil
@@ -140,7 +140,7 @@
 // decode parses a JSON message; its error includes a remedy.
 func decode(data []byte, target any) error {
 	if err := json.Unmarshal(data, target); err != nil {
-		return failure.New(failure.KindInvalidRequest, "the message is not valid: "+err.Error(), "use the cloverrail command of the same version")
+		return failure.New(failure.KindInvalidRequest, "the message cannot be decoded: "+err.Error(), "use the cloverrail command of the same version")
 	}
 	return nil
 }
--- a/internal/operator/query.go
+++ b/internal/operator/query.go
@@ -33,7 +33,7 @@
 func Query(view View, show *Show) (*Table, error) {
 	snapshot := view.Snapshot()
 	if snapshot == nil {
-		return nil, failure.New(failure.KindNotConfigured, "nothing is declared yet", "apply a declaration first")
+		return nil, failure.New(failure.KindNotConfigured, "no declaration has been applied yet", "apply a declaration first")
 	}
 	table := buildTable(view, snapshot, show)
 	if err := table.filter(show.Conditions); err != nil {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -138,7 +138,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxRequestBytes))
 	if err != nil {
-		return nil, failure.New(failure.KindTooLarge, "the message is too long", "split the declaration over fleets")
+		return nil, failure.New(failure.KindTooLarge, "the message is too long", "split the declaration into several fleets")
 	}
 	return serve(ctx, body)
 }
@@ -160,7 +160,7 @@
 func toFailure(err error) *failure.Failure {
 	var faults strictyaml.Diagnostics
 	if errors.As(err, &faults) {
-		return failure.New(failure.KindInvalidRequest, faults.Error(), "mend the declaration and run `cloverrail check`")
+		return failure.New(failure.KindInvalidRequest, faults.Error(), "correct the declaration and run `cloverrail check`")
 	}
 	return failure.As(err)
 }
--- a/internal/order/issuer_test.go
+++ b/internal/order/issuer_test.go
@@ -82,7 +82,7 @@
 				for _, send := range step(holder, nil) {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine {
-							require.True(t, engine.accept(now, send.Order), "the holder's orders are taken")
+							require.True(t, engine.accept(now, send.Order), "orders of the lease holder are accepted")
 						}
 					}
 				}
@@ -102,12 +102,12 @@
 				for _, send := range delayed {
 					for _, engine := range engines {
 						if engine.state.Name == send.Engine && send.Order.Token < token {
-							require.False(t, engine.accept(now, send.Order), "a late order is refused")
+							require.False(t, engine.accept(now, send.Order), "an order with a stale token is rejected")
 						}
 					}
 				}
 				if len(delayed) > 0 {
-					require.Empty(t, step(1-holder, nil), "a lapsed lease is not relied on")
+					require.Empty(t, step(1-holder, nil), "an expired lease is not relied on")
 				}
 			case "version":
 				version++
@@ -119,7 +119,7 @@
 					loading++
 				}
 			}
-			require.LessOrEqual(t, loading, maxLoads, "loads stay within the pace")
+			require.LessOrEqual(t, loading, maxLoads, "concurrent loads stay within the limit")
 		}
 	})
 }
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -40,7 +40,7 @@
 
 func (reader *boundedReader) Read(data []byte) (int, error) {
 	if reader.remaining <= 0 {
-		return 0, errors.Errorf("message longer than %d bytes", maxMessageBytes)
+		return 0, errors.Errorf("message exceeds %d bytes", maxMessageBytes)
 	}
 	count, err := reader.source.Read(data[:min(len(data), reader.remaining)])
 	reader.remaining -= count
@@ -86,7 +86,7 @@
 // idempotent.
 func (client *Client) Call(ctx context.Context, address string, request any) (any, error) {
 	if client.blocked != nil && client.blocked(address) {
-		return nil, errors.Errorf("no path to %s", address)
+		return nil, errors.Errorf("no path to %s: address blocked", address)
 	}
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -106,12 +106,12 @@
 	}
 	fresh, err := client.dial(ctx, address)
 	if err != nil {
-		return nil, errors.Annotatef(err, "no connection to %s", address)
+		return nil, errors.Annotatef(err, "cannot connect to %s", address)
 	}
 	response, err := roundTrip(ctx, fresh, request)
 	if err != nil {
 		_ = fresh.Close()
-		return nil, errors.Annotatef(err, "no answer from %s", address)
+		return nil, errors.Annotatef(err, "no response from %s", address)
 	}
 	return client.releaseConnection(address, fresh, response)
 }
--- a/internal/peer/credentials.go
+++ b/internal/peer/credentials.go
@@ -36,7 +36,7 @@
 func NewCredentials(fleetKey []byte) (*Credentials, error) {
 	seed, err := hkdf.Key(sha256.New, fleetKey, nil, certificateContext, ed25519.SeedSize)
 	if err != nil {
-		return nil, errors.Annotate(err, "the fleet key cannot be used; give at least 16 bytes")
+		return nil, errors.Annotate(err, "the fleet key is not usable; use at least 16 bytes")
 	}
 	credentials := &Credentials{signer: ed25519.NewKeyFromSeed(seed)}
 	if err := credentials.initTLS(); err != nil {
@@ -80,11 +80,11 @@
 // verified that the peer holds the private key of its certificate.
 func (credentials *Credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the peer showed no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	key, ok := state.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok || !key.Equal(credentials.signer.Public()) {
-		return errors.New("the peer does not hold this fleet's key; give all nodes the same fleetKey")
+		return errors.New("the peer does not have this fleet's key; configure the same fleetKey on all nodes")
 	}
 	return nil
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -24,11 +24,11 @@
 func ListenDatagrams[Message any](address string, credentials *Credentials, blocked func(string) bool) (*DatagramConn[Message], error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Annotate(err, "write the peer address as IP number and port")
+		return nil, errors.Annotate(err, "write the peer address as IP address and port")
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addrPort))
 	if err != nil {
-		return nil, errors.Annotate(err, "the peer address cannot be used; choose a free port")
+		return nil, errors.Annotate(err, "cannot listen on the peer address; choose a free port")
 	}
 	return &DatagramConn[Message]{socket: socket, credentials: credentials, blocked: blocked}, nil
 }
@@ -57,7 +57,7 @@
 		return nil, errors.Trace(err)
 	}
 	if plain.Len() > maxDatagramBytes {
-		return nil, errors.Errorf("message of %d bytes does not fit a datagram", plain.Len())
+		return nil, errors.Errorf("message of %d bytes does not fit into a datagram", plain.Len())
 	}
 	return credentials.aead.Seal(nil, nil, plain.Bytes(), nil), nil
 }
--- a/internal/plain/forwarder_test.go
+++ b/internal/plain/forwarder_test.go
@@ -103,7 +103,7 @@
 	for _, fault := range []behavior{dropsConnection, echoesOtherAttempt} {
 		answer, reached, err := forward(t, true, fault, respondsWith("done"))
 		require.NoError(t, err)
-		require.Equal(t, "done", string(answer.Body), "an answer of another attempt is dropped")
+		require.Equal(t, "done", string(answer.Body), "the answer of another attempt is discarded")
 		require.Equal(t, 2, reached)
 	}
 }
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -61,7 +61,7 @@
 					require.Equal(t, depths[name][root], found[holder(name)])
 					delete(found, holder(name))
 				}
-				require.Empty(t, found, "no entry of a dead incarnation is found")
+				require.Empty(t, found, "no entry of a dead incarnation must be found")
 			}
 		}
 	})
--- a/internal/proxy/contention_test.go
+++ b/internal/proxy/contention_test.go
@@ -102,7 +102,7 @@
 
 // burstModes are the ways in which a burst of requests is placed.
 var burstModes = map[string]func(p *placer) ([]*placement, int){
-	"all look first":  (*placer).placeFromSameSnapshot,
+	"same snapshot":   (*placer).placeFromSameSnapshot,
 	"busy processors": (*placer).placeConcurrently,
 }
 
@@ -152,7 +152,7 @@
 				p.proxy.set.Notice(fmt.Sprint("i-", i), backend.Notice{RetryAfter: time.Millisecond}, time.Now().Add(-time.Minute))
 			}
 			placed, refused := burst(p)
-			require.Len(t, placed, servers+1, "one at each")
+			require.Len(t, placed, servers+1, "one per server")
 			require.Equal(t, 60, len(placed)+refused)
 		}
 	})
--- a/internal/proxy/limit.go
+++ b/internal/proxy/limit.go
@@ -34,8 +34,8 @@
 		return nil
 	}
 	proxy.recorder.RateLimited(admitted.request, tenant.Name, tenant.Limit, decision)
-	problem := fmt.Sprintf("the tenant asks for more than its limit of %.0f %s a second", tenant.Limit.PerSecond, unitNames[tenant.Limit.Unit])
-	return failure.New(failure.KindRateLimited, problem, "send it again after the time given, or ask for a higher limit").
+	problem := fmt.Sprintf("rate limit exceeded: the tenant is limited to %.0f %s per second", tenant.Limit.PerSecond, unitNames[tenant.Limit.Unit])
+	return failure.New(failure.KindRateLimited, problem, "retry after the given delay, or ask for a higher limit").
 		WithRetryAfter(decision.RetryAfter)
 }
 
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -41,7 +41,7 @@
 // announced that the server is leaving or needs to back off.
 func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*exchange.Reply, error) {
 	if placement.placer.proxy.set.RejectsTraffic(placement.chosen.Endpoint, boottime.Now()) {
-		return nil, &exchange.ErrWithdrawn{Reason: "the server has said meanwhile that it leaves or rests"}
+		return nil, &exchange.ErrWithdrawn{Reason: "the server announced that it is leaving or backing off after it was chosen"}
 	}
 	admitted := placement.placer.admitted
 	dispatch := Dispatch{
--- a/internal/proxy/placer.go
+++ b/internal/proxy/placer.go
@@ -116,7 +116,7 @@
 	}
 	// The timer that ends the request does not advance while the machine is suspended.
 	if !now.Before(placer.admitted.deadline) {
-		return nil, &exchange.Unplaced{Reason: "the request's time is over", Permanent: true}
+		return nil, &exchange.Unplaced{Reason: "the request's deadline has passed", Permanent: true}
 	}
 	scheduler, request := routing.NewScheduler(placer.scorers()...), placer.routingRequest()
 	for round := 1; round <= maxPlacementRounds; round++ {
@@ -134,7 +134,7 @@
 			return nil, unplaced
 		}
 	}
-	return nil, &exchange.Unplaced{Reason: "servers fill up faster than the request is placed"}
+	return nil, &exchange.Unplaced{Reason: "servers filled up with other requests during placement"}
 }
 
 const (
@@ -207,7 +207,7 @@
 			placed.attempt.End(exchange.ResultNeutral, now)
 		}
 		if len(selection.candidates) == 0 {
-			return nil, &exchange.Unplaced{Reason: "no server is known"}
+			return nil, &exchange.Unplaced{Reason: "no server of the service is registered"}
 		}
 		if all {
 			return nil, placer.unplaced(selection.candidates, selection.decision, now)
@@ -279,7 +279,7 @@
 // RetryAfter is the end of the shortest one, plus jitter, since servers accept few requests at
 // first after a backoff.
 func (placer *placer) unplaced(candidates []routing.Candidate, decision routing.Decision, now time.Time) *exchange.Unplaced {
-	unplaced := &exchange.Unplaced{Reason: "every server is " + string(decision.LastRejection), Permanent: true}
+	unplaced := &exchange.Unplaced{Reason: "no server is eligible: " + string(decision.LastRejection), Permanent: true}
 	tried := false
 	var limited []uint64
 	shortest := time.Duration(math.MaxInt64)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -296,7 +296,7 @@
 // to be current rejects a request because its route or key does not exist.
 func (proxy *Proxy) admit(request *Request, now time.Time) (*admitted, *failure.Failure) {
 	if proxy.refusing.Load() {
-		return nil, failure.New(failure.KindStopping, "this node stops", "send the request to another node").WithRetryAfter(catchUpRetryAfter)
+		return nil, failure.New(failure.KindStopping, "this node is shutting down", "send the request to another node").WithRetryAfter(catchUpRetryAfter)
 	}
 	replica := proxy.replica.Load()
 	if replica == nil || replica.Snapshot == nil {
@@ -308,7 +308,7 @@
 		if !current {
 			return nil, staleConfiguration("this node's configuration may be out of date")
 		}
-		return nil, failure.New(failure.KindNotFound, "no route fits the host and path", "declare a route, or correct the address")
+		return nil, failure.New(failure.KindNotFound, "no route matches the host and path", "declare a route, or correct the address")
 	}
 	tenant, refusal := proxy.authenticate(request, replica, route, now, current)
 	if refusal != nil {
@@ -328,7 +328,7 @@
 	// The key may have been removed since the replica was current. The caller sent the
 	// request before now, so the result remains valid whenever the request is forwarded.
 	if !replica.Fresh(now, proxy.bounds.Revocation-answerMargin) {
-		return nil, staleConfiguration("this node cannot tell whether keys are still valid")
+		return nil, staleConfiguration("this node cannot verify that API keys are still valid")
 	}
 	tenant := replica.Snapshot.TenantOf(request.Key)
 	switch {
@@ -337,12 +337,12 @@
 	case !current:
 		return nil, staleConfiguration("this node's configuration may be out of date")
 	default:
-		return nil, failure.New(failure.KindUnauthorized, "the key is not known", "send a key that a tenant holds")
+		return nil, failure.New(failure.KindUnauthorized, "unknown API key", "send an API key of a declared tenant")
 	}
 }
 
 func unconfigured() *failure.Failure {
-	return staleConfiguration("this node has not read its configuration yet")
+	return staleConfiguration("this node has not loaded its configuration yet")
 }
 
 func staleConfiguration(problem string) *failure.Failure {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -134,7 +134,7 @@
 			admitted, refusal := proxy.admit(request, now)
 			if kind == "" {
 				require.Nil(t, refusal)
-				require.Equal(t, now.Add(time.Second), admitted.deadline, "the route's time")
+				require.Equal(t, now.Add(time.Second), admitted.deadline, "the route's timeout")
 				continue
 			}
 			require.Equal(t, kind, string(refusal.Kind), "%s after %s", what, age)
@@ -145,17 +145,17 @@
 func TestMinimumVersionAndStartDeadline(t *testing.T) {
 	start := time.Now()
 	proxy := newTestProxy(start, catalog.Releases{{Version: 4}, {Version: 5, UnreleasedAt: start}, {Version: 6, UnreleasedAt: start.Add(4 * time.Second)}})
-	require.Equal(t, int64(0), proxy.minimumVersion("m", start.Add(time.Second)), "nobody knows when 4 was named")
+	require.Equal(t, int64(0), proxy.minimumVersion("m", start.Add(time.Second)), "the release time of 4 is unknown")
 	require.Equal(t, int64(4), proxy.minimumVersion("m", start.Add(3*time.Second)))
 	require.Equal(t, int64(5), proxy.minimumVersion("m", start.Add(7*time.Second)))
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(11*time.Second)))
 	require.Zero(t, proxy.minimumVersion("other", start.Add(time.Hour)))
-	require.Zero(t, proxy.startDeadline("m", 6), "the newest may serve for ever")
+	require.Zero(t, proxy.startDeadline("m", 6), "the newest version has no deadline")
 	require.Equal(t, start.Add(12*time.Second-startMargin), proxy.startDeadline("m", 5))
 	require.Equal(t, start.Add(8*time.Second-startMargin), proxy.startDeadline("m", 4))
 	require.Equal(t, proxy.started.Add(3*time.Second-startMargin), proxy.startDeadline("m", 3))
 	proxy.replica.Store(catalog.MarkDisrupted(proxy.replica.Load(), start.Add(9*time.Second)))
-	require.Zero(t, proxy.minimumVersion("m", start.Add(11*time.Second)), "nobody could be moved while the store was away")
+	require.Zero(t, proxy.minimumVersion("m", start.Add(11*time.Second)), "a disruption of the store restarts the bound")
 	require.Equal(t, int64(6), proxy.minimumVersion("m", start.Add(16*time.Second)))
 }
 
@@ -167,8 +167,8 @@
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 4, start.Add(1500*time.Millisecond)), 1e-9)
 	require.Zero(t, proxy.replacedLoss("m", 5, start.Add(5*time.Second)))
 	require.InDelta(t, 0.2, proxy.replacedLoss("m", 5, start.Add(5500*time.Millisecond)), 1e-9)
-	require.Zero(t, proxy.replacedLoss("m", 6, start.Add(time.Hour)), "the newest")
-	require.InDelta(t, 0.2, proxy.replacedLoss("m", 3, start), 1e-9, "nobody knows when 4 was named")
+	require.Zero(t, proxy.replacedLoss("m", 6, start.Add(time.Hour)), "the newest version")
+	require.InDelta(t, 0.2, proxy.replacedLoss("m", 3, start), 1e-9, "the release time of 4 is unknown")
 }
 
 // Guards against selecting a version whose start deadline has already passed, which would cancel
@@ -180,7 +180,7 @@
 			return start.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, name)) * time.Millisecond)
 		}
 		second := catalog.Release{Version: 2}
-		if rapid.Bool().Draw(t, "seen being named") {
+		if rapid.Bool().Draw(t, "release observed") {
 			second.UnreleasedAt = moment("named")
 		}
 		proxy := newTestProxy(start, catalog.Releases{{Version: 1}, second})
@@ -208,9 +208,9 @@
 		require.Equal(t, 30*time.Millisecond, time.Since(start))
 		proxy = New(Options{Replica: &catalog.AtomicReplica{}})
 		proxy.AwaitConfiguration(t.Context())
-		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "not for ever")
+		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "the wait is bounded")
 		proxy.AwaitConfiguration(t.Context())
-		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "only after the start")
+		require.Equal(t, 30*time.Millisecond+maxConfigurationWait, time.Since(start), "it waits only after startup")
 	})
 }
 
@@ -227,6 +227,6 @@
 		require.InEpsilon(t, took.Seconds(), s.seconds(), 0.15)
 		learned := s.seconds()
 		s.observe(20 * time.Second)
-		require.Less(t, s.seconds()-learned, 0.51, "one run says little")
+		require.Less(t, s.seconds()-learned, 0.51, "a single run changes the estimate little")
 	})
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -63,15 +63,15 @@
 		return nil
 	}
 	proxy.recorder.RequestQuarantined(admitted.request, admitted.fingerprint(), verdict)
-	return failure.New(failure.KindQuarantined, quarantineProblem(verdict), "change the request, or send it again after the time given").
+	return failure.New(failure.KindQuarantined, quarantineProblem(verdict), "change the request, or retry after the given delay").
 		WithRetryAfter(verdict.Until.Sub(now))
 }
 
 func quarantineProblem(verdict quarantine.Verdict) string {
 	if verdict.Crashes == 0 {
-		return "servers have ended while they ran this request"
+		return "servers have crashed while running this request"
 	}
-	return fmt.Sprintf("%d servers have ended while they ran this request", verdict.Crashes)
+	return fmt.Sprintf("%d servers have crashed while running this request", verdict.Crashes)
 }
 
 // isolationThreshold is the number of crashes under a request from which on it is isolated from
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -53,7 +53,7 @@
 		case suspicion := <-recorder.resolved:
 			require.True(t, suspicion.Ended)
 		case <-time.After(4 * LivenessCheckDelay):
-			t.Fatal("not settled in time")
+			t.Fatal("suspicion not resolved in time")
 		}
 	}
 	require.Equal(t, int64(1), servers.probes.Load())
--- a/internal/proxy/serverlimit.go
+++ b/internal/proxy/serverlimit.go
@@ -58,7 +58,7 @@
 		placer.retryAt = now.Add(retryAfter)
 		placer.proxy.recorder.OverLimits(placer.admitted.request, OverLimits{Service: service, Servers: len(limited), Shortest: shortest, RetryAfter: retryAfter})
 	}
-	unplaced.Reason = "every server has as many requests as it takes"
+	unplaced.Reason = "all servers are at their request limits"
 	unplaced.RetryAfter = max(0, placer.retryAt.Sub(now))
 	unplaced.Permanent = shortest > placer.admitted.route.TargetLatency/placementWaitDivisor
 	return unplaced
--- a/internal/proxy/sources_test.go
+++ b/internal/proxy/sources_test.go
@@ -76,12 +76,12 @@
 	for i := range all {
 		c := &all[i]
 		if c == h.first {
-			require.Equal(t, h.second.Address, c.ImportFrom, "the second may have stood in for it")
+			require.Equal(t, h.second.Address, c.ImportFrom, "the second may have replaced it")
 			require.Zero(t, c.ImportBlocks)
 			continue
 		}
 		require.Equal(t, h.first.Address, c.ImportFrom)
-		require.Zero(t, c.ImportBlocks, "it may be asked, but nothing is known")
+		require.Zero(t, c.ImportBlocks, "no blocks are known to be there")
 	}
 	p.proxy.ledger.Replace("store-0", []residency.Key{p.piecesAt(1)[0].Key})
 	for _, c := range p.candidates() {
@@ -116,7 +116,7 @@
 		p.admitted.request.Prompt.Parts[0].ID = fmt.Sprint("part-", i)
 		seen[p.store().Address] = true
 	}
-	require.Len(t, seen, 2, "they share the work")
+	require.Len(t, seen, 2, "prompts are spread over the remaining stores")
 }
 
 func TestSavesOnlyMostlySharedPrompts(t *testing.T) {
@@ -131,7 +131,7 @@
 	p.proxy.ledger.Replace("store-0", []residency.Key{p.piecesAt(1)[0].Key})
 	dispatch := Dispatch{}
 	p.beginAt(p.candidates()[0]).addKVSources(&dispatch)
-	require.Empty(t, dispatch.SaveTo, "the store has it")
+	require.Empty(t, dispatch.SaveTo, "the store already has the shared part")
 	require.Equal(t, "store-0", dispatch.FetchFrom)
 }
 
@@ -195,9 +195,9 @@
 	require.Equal(t, lowestUrgency, late.urgency())
 	require.False(t, late.Stalled(30*time.Millisecond))
 	for _, work := range p.proxy.set.Work(time.Now()) {
-		require.Equal(t, queued, work.QueuedTokens, "its tokens are nobody's to wait for")
+		require.Equal(t, queued, work.QueuedTokens, "deferred tokens do not count as queued")
 	}
 	p.admitted.request.Arrived = time.Now().Add(-time.Second)
 	late.End(exchange.ResultServed)
-	require.True(t, place().deferred, "it is late already")
+	require.True(t, place().deferred, "the target latency has already passed")
 }
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -52,7 +52,7 @@
 			used[servers[first+second]] = true
 		}
 		require.LessOrEqual(t, len(used), subsetSize)
-		require.Greater(t, len(used), subsetSize/2, "it is spread over them")
+		require.Greater(t, len(used), subsetSize/2, "requests use most of the subset")
 		for history := range 300 {
 			first, second := fmt.Sprint("sheet-", sheet), fmt.Sprint("history-", sheet, "-", history)
 			require.Equal(t, servers[first+second], p.place(t, first, second))
@@ -101,11 +101,11 @@
 	}
 	require.False(t, allOutsideSubset())
 	p.setRemoteWork(subset, slotsPerServer+8, 0)
-	require.True(t, allOutsideSubset(), "all slots are taken there")
+	require.True(t, allOutsideSubset(), "all slots of the subset are taken")
 	p.setRemoteWork(subset, 2, 0)
-	require.False(t, allOutsideSubset(), "there is room again")
+	require.False(t, allOutsideSubset(), "the subset has free slots again")
 	p.setRemoteWork(subset, 0, 2)
-	require.True(t, allOutsideSubset(), "nobody there answers")
+	require.True(t, allOutsideSubset(), "all servers of the subset are suspected")
 	p.setRemoteWork(nil, 0, 0)
 	require.False(t, allOutsideSubset())
 }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -39,12 +39,12 @@
 	require.Equal(t, Verdict{Quarantined: true, Crashes: crashThreshold, Weight: crashThreshold, Until: begin.Add(QuarantineDuration)}, verdict)
 	require.False(t, l.Evaluate(8, alwaysConfirmed, begin).Quarantined, "another request")
 	later := begin.Add(QuarantineDuration)
-	require.False(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "it may be tried again")
+	require.False(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "released after the quarantine")
 	crash(l, 9, later, 7)
-	require.True(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "one more server is enough then")
+	require.True(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "quarantined again after one more crash")
 	require.False(t, l.Evaluate(7, alwaysConfirmed, later.Add(crashTTL+1)).Quarantined)
 	crash(l, 10, later.Add(3*crashTTL), 8)
-	require.Equal(t, int64(1), l.active.Load(), "what is too old is forgotten")
+	require.Equal(t, int64(1), l.active.Load(), "expired observations are removed")
 }
 
 func TestServerThatAnswersLaterRequestsHasNotCrashed(t *testing.T) {
@@ -55,7 +55,7 @@
 	unconfirmed := func(server uint64, since time.Time) bool { return server == 1 && since.Equal(begin) }
 	require.False(t, l.Evaluate(7, unconfirmed, begin).Quarantined)
 	l.ApplyStored([]Fingerprint{7}, begin)
-	require.False(t, l.Evaluate(7, unconfirmed, begin).Quarantined, "the store does not know better")
+	require.False(t, l.Evaluate(7, unconfirmed, begin).Quarantined, "confirmed observations take precedence over the store")
 	require.True(t, l.Cleared(7, unconfirmed, begin))
 	require.False(t, l.Cleared(7, alwaysConfirmed, begin))
 	require.Empty(t, l.QuarantinedRequests(unconfirmed, begin))
@@ -77,7 +77,7 @@
 	crash(l, 1, begin, 7)
 	crash(l, 2, begin, 7)
 	require.True(t, l.Served(7, begin.Add(time.Second)))
-	require.False(t, l.Served(7, begin.Add(2*time.Second)), "that is known")
+	require.False(t, l.Served(7, begin.Add(2*time.Second)), "already known")
 	for server := range uint64(10) {
 		crash(l, 10+server, begin.Add(3*time.Second), 7)
 	}
@@ -86,7 +86,7 @@
 	for server := range uint64(crashThreshold) {
 		crash(l, 20+server, later, 7)
 	}
-	require.True(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "it may have become harmful")
+	require.True(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined, "the complete response has expired")
 }
 
 // A bystander of a request that crashes servers is not quarantined, though three servers crashed
@@ -96,10 +96,10 @@
 	for server := range uint64(crashThreshold) {
 		crash(l, server, begin, 7, 8)
 	}
-	require.False(t, l.Evaluate(7, alwaysConfirmed, begin).Quarantined, "either may have done it")
+	require.False(t, l.Evaluate(7, alwaysConfirmed, begin).Quarantined, "either may be the culprit")
 	require.False(t, l.Evaluate(8, alwaysConfirmed, begin).Quarantined)
 	crash(l, 99, begin, 7)
-	require.False(t, l.Evaluate(7, alwaysConfirmed, begin).Quarantined, "others may not have told yet what else ran there")
+	require.False(t, l.Evaluate(7, alwaysConfirmed, begin).Quarantined, "peers may not have reported yet what else ran on the server")
 	known := begin.Add(soloConfirmDelay)
 	require.True(t, l.Evaluate(7, alwaysConfirmed, known).Quarantined)
 	require.False(t, l.Evaluate(8, alwaysConfirmed, known).Quarantined)
@@ -114,14 +114,14 @@
 	l.ApplyStored([]Fingerprint{7}, begin)
 	place := l.Position()
 	l.ApplyStored([]Fingerprint{7}, begin.Add(time.Second))
-	require.Equal(t, place, l.Position(), "that is no news")
+	require.Equal(t, place, l.Position(), "no new observation")
 	verdict := l.Evaluate(7, alwaysConfirmed, begin)
 	require.True(t, verdict.Quarantined && verdict.Stored)
-	require.Empty(t, l.QuarantinedRequests(alwaysConfirmed, begin), "nothing that this node would write")
+	require.Empty(t, l.QuarantinedRequests(alwaysConfirmed, begin), "this node has nothing to write")
 	require.True(t, l.Served(7, begin.Add(time.Second)))
 	require.True(t, l.Cleared(7, alwaysConfirmed, begin.Add(time.Second)))
 	l.ApplyStored([]Fingerprint{7}, begin.Add(2*time.Second))
-	require.False(t, l.Evaluate(7, alwaysConfirmed, begin.Add(2*time.Second)).Quarantined, "the key is not removed yet")
+	require.False(t, l.Evaluate(7, alwaysConfirmed, begin.Add(2*time.Second)).Quarantined, "cleared before the key is removed")
 }
 
 // Nodes that have received the same observations reach the same verdict, in whatever order and
@@ -174,7 +174,7 @@
 	require.Empty(t, back)
 	require.Equal(t, other.Position(), next)
 	own, _ := other.Since(0, "third", Own, begin)
-	require.Empty(t, own, "nothing that it found itself")
+	require.Empty(t, own, "no observations of its own")
 	third, _ := other.Since(0, "third", All, begin)
 	require.Len(t, third, maxItemsPerBatch)
 }
@@ -204,7 +204,7 @@
 		crash(l, server, begin.Add(time.Duration(server)*time.Second), 1)
 	}
 	require.Len(t, l.histories[1].crashes, maxCrashesPerRequest)
-	require.Equal(t, begin.Add((10*maxCrashesPerRequest-1)*time.Second).Add(QuarantineDuration), l.Evaluate(1, alwaysConfirmed, begin).Until, "the latest end counts")
+	require.Equal(t, begin.Add((10*maxCrashesPerRequest-1)*time.Second).Add(QuarantineDuration), l.Evaluate(1, alwaysConfirmed, begin).Until, "the latest crash counts")
 }
 
 // heapGrowth returns the heap memory taken by the result of build.
@@ -269,7 +269,7 @@
 	place := l.Position() - 1
 	for b.Loop() {
 		if items, _ := l.Since(place, "other", All, begin); len(items) != 1 {
-			b.Fatal("one fact is new")
+			b.Fatal("want one new observation")
 		}
 	}
 }
@@ -302,9 +302,9 @@
 	require.True(t, other.Quarantined && other.Ambiguous)
 	require.Less(t, one.Until, now.Add(2*minAmbiguousDuration))
 	require.Greater(t, other.Until.Sub(one.Until), time.Second)
-	require.Empty(t, l.QuarantinedRequests(alwaysConfirmed, now), "the store would keep them for longer")
+	require.Empty(t, l.QuarantinedRequests(alwaysConfirmed, now), "the store would keep them for QuarantineDuration")
 	crash(l, 99, one.Until, 7)
-	require.Equal(t, one.Until.Add(QuarantineDuration), l.Evaluate(7, alwaysConfirmed, one.Until.Add(soloConfirmDelay)).Until, "it has done it alone")
+	require.Equal(t, one.Until.Add(QuarantineDuration), l.Evaluate(7, alwaysConfirmed, one.Until.Add(soloConfirmDelay)).Until, "it crashed a server alone")
 }
 
 // Crashes before all nodes know of the first one do not quarantine a request that never ran
@@ -327,5 +327,5 @@
 	require.True(t, l.Evaluate(7, alwaysConfirmed, later).Quarantined)
 	require.False(t, l.Evaluate(8, alwaysConfirmed, later).Quarantined)
 	l.Served(11, later)
-	require.True(t, l.Evaluate(9, alwaysConfirmed, later).Quarantined, "what ran beside it was answered")
+	require.True(t, l.Evaluate(9, alwaysConfirmed, later).Quarantined, "the bystander was cleared")
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -177,10 +177,10 @@
 				// nevertheless.
 				maxRejected = int(2 * minAmbiguousDuration / retryDelay)
 			}
-			require.LessOrEqual(t, s.rejected, maxRejected, "request %d beside them, served %d times", i, s.served)
+			require.LessOrEqual(t, s.rejected, maxRejected, "bystander %d, served %d times", i, s.served)
 		}
 		for i, s := range c.culprits {
-			require.LessOrEqual(t, s.lateCrashes(), maxLateCrashes, "request %d of those to blame, %d ends", i, len(s.crashes))
+			require.LessOrEqual(t, s.lateCrashes(), maxLateCrashes, "culprit %d, %d crashes", i, len(s.crashes))
 		}
 	})
 }
@@ -206,7 +206,7 @@
 				require.Zero(t, s.rejected, "seed %d", seed)
 				return s.served > 0
 			})
-			require.Less(t, c.now.Sub(begin), 30*time.Second, "seed %d: %d are not served", seed, len(c.bystanders))
+			require.Less(t, c.now.Sub(begin), 30*time.Second, "seed %d: %d not served", seed, len(c.bystanders))
 		}
 		c.run(5*time.Second, 200*time.Millisecond)
 		for _, s := range c.culprits {
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -11,7 +11,7 @@
 // usageBytes is the length of an encoded usage: its tenant and two single-precision numbers.
 const usageBytes = 16
 
-var errMalformedReport = errors.New("a report of the use of limits cannot be read; run the same version on all nodes")
+var errMalformedReport = errors.New("malformed quota report; all nodes must run the same version")
 
 // Encode returns the binary form of the report. It is compact, since nodes exchange reports
 // several times a second.
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -292,7 +292,7 @@
 		return s.refused / s.requested
 	}
 	even, adaptive := refused(true), refused(false)
-	t.Logf("refused within the limit: %.3f with even parts, %.3f with shares that follow the demand", even, adaptive)
+	t.Logf("refused within the limit: %.3f with an even split, %.3f with shares that follow the demand", even, adaptive)
 	require.Greater(t, even, 0.2)
 	require.Less(t, adaptive, 0.02)
 }
--- a/internal/quota/server_limits_test.go
+++ b/internal/quota/server_limits_test.go
@@ -206,7 +206,7 @@
 					// With so few requests for so many nodes, the measurement takes too long.
 					continue
 				}
-				t.Run(fmt.Sprintf("%d nodes, %v a second, uneven %v", size, limit, skew), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d nodes, limit %v/s, skew %v", size, limit, skew), func(t *testing.T) {
 					t.Parallel()
 					f := newLimitedFleet(size, limit, uint64(size)+uint64(limit*10))
 					f.setDemand(max(10, 6*limit), skew)
@@ -300,10 +300,10 @@
 			f.run(time.Second)
 			lowered := f.now
 			f.run(3 * serverWindow)
-			require.LessOrEqual(t, f.peakInWindow(lowered), maxInServerWindow(f.limit), "%d nodes, to %v a second", size, f.limit)
+			require.LessOrEqual(t, f.peakInWindow(lowered), maxInServerWindow(f.limit), "%d nodes, limit lowered to %v/s", size, f.limit)
 			settled := f.now
 			f.run(60 * time.Second)
-			require.GreaterOrEqual(t, f.sentRate(settled), minUtilization*f.limit, "%d nodes, to %v a second", size, f.limit)
+			require.GreaterOrEqual(t, f.sentRate(settled), minUtilization*f.limit, "%d nodes, limit lowered to %v/s", size, f.limit)
 		}
 	}
 }
@@ -369,16 +369,16 @@
 	s.Resize(2)
 	require.True(t, s.ObserveLimit(limitedServer, 5, start))
 	require.False(t, s.ObserveLimit(limitedServer, 5, start.Add(time.Second)))
-	require.False(t, s.ObserveNoLimit(limitedServer, start.Add(time.Second), start.Add(2*time.Second)), "sent before the limit was named last")
+	require.False(t, s.ObserveNoLimit(limitedServer, start.Add(time.Second), start.Add(2*time.Second)), "the request was sent before the limit was last advertised")
 	lifted := []Usage{{Tenant: rowKey(limitedServer, sentRow), Requested: 1}}
-	require.Empty(t, s.SetPeerRows(lifted, start.Add(2*time.Second)), "its own word is newer")
+	require.Empty(t, s.SetPeerRows(lifted, start.Add(2*time.Second)), "the node's own observation takes precedence")
 	changes := s.SetPeerRows(lifted, start.Add(time.Second+ownReportLife))
 	require.Len(t, changes, 1)
 	require.True(t, changes[0].Lifted && changes[0].Matches(limitedServer))
 	limited := []Usage{{Tenant: rowKey(limitedServer, limitRow), Requested: 12, Admitted: 3}}
 	changes = s.SetPeerRows(limited, start.Add(time.Second+ownReportLife))
 	require.Len(t, changes, 1)
-	require.Equal(t, 4.0, changes[0].PerSecond, "the mean of what they heard")
+	require.Equal(t, 4.0, changes[0].PerSecond, "the mean of the peers' reports")
 	require.True(t, s.ObserveNoLimit(limitedServer, start.Add(5*time.Second), start.Add(6*time.Second)))
 }
 
@@ -470,7 +470,7 @@
 			sent++
 		}
 	}
-	require.InDelta(t, 20*(2*targetUtilization-1), sent, 5, "20 s at 2 a second, of which the node's own calls take 1")
+	require.InDelta(t, 20*(2*targetUtilization-1), sent, 5, "20 s at 2 requests/s, of which the node's own calls use 1")
 }
 
 // Callers arrive at a node for the first time, while its peers hold all shares of a limit. They
--- a/internal/reflector/era_test.go
+++ b/internal/reflector/era_test.go
@@ -52,8 +52,8 @@
 				s.runRound()
 			}
 			bytesPerNode := s.sum()/nodes - 3*idle
-			t.Logf("%d nodes: %d bytes a node beside %d a round at rest, a whole list has %d", nodes, bytesPerNode, idle, fullList.Len())
-			require.Less(t, bytesPerNode, 2000, "what differs is told alone")
+			t.Logf("%d nodes: %d bytes per node on top of %d per idle round; a full list has %d", nodes, bytesPerNode, idle, fullList.Len())
+			require.Less(t, bytesPerNode, 2000, "only the differences are sent")
 			for name, node := range s.nodes {
 				if node != isolated {
 					require.EqualValues(t, 2, node.Eras.Current(), name)
--- a/internal/reflector/feed_test.go
+++ b/internal/reflector/feed_test.go
@@ -121,7 +121,7 @@
 				delta := feed.Respond(context.Background(), PollRequest{Place: own.cursor()})
 				own.apply(delta.serverUpdate(time.Now()))
 				require.False(t, own.position.Before(before))
-				require.False(t, delta.Whole && !before.IsZero() && !before.Before(feed.servers.compactedTo), "nothing was missing")
+				require.False(t, delta.Whole && !before.IsZero() && !before.Before(feed.servers.compactedTo), "the full list is sent only when needed")
 				if own.diverged {
 					// That node missed a server that came and went between two of its reads.
 					delta, _ := feed.changesSince(PollRequest{Place: own.cursor()})
@@ -147,7 +147,7 @@
 	require.Empty(t, delta.Changed)
 	require.Equal(t, at(2), delta.Place)
 	feed.apply(fullUpdate(nil, 3, time.Now()))
-	require.Equal(t, []string{"i-1"}, feed.Respond(context.Background(), PollRequest{Place: at(1), Wait: time.Hour}).Gone, "it does not wait for what is there")
+	require.Equal(t, []string{"i-1"}, feed.Respond(context.Background(), PollRequest{Place: at(1), Wait: time.Hour}).Gone, "changes that are there are returned without waiting")
 }
 
 func TestLoadsAreSentOnce(t *testing.T) {
--- a/internal/reflector/follow.go
+++ b/internal/reflector/follow.go
@@ -49,7 +49,7 @@
 )
 
 // errStaleUpstream reports that the upstream's own state is stale.
-var errStaleUpstream = errors.New("it has not heard from the store of late")
+var errStaleUpstream = errors.New("the upstream's state of the store is stale")
 
 // pollInterval returns the time between two polls of the same node.
 func (r *Reflector) pollInterval() time.Duration {
--- a/internal/reflector/follow_test.go
+++ b/internal/reflector/follow_test.go
@@ -96,7 +96,7 @@
 	require.Equal(t, int64(7), received.Snapshot.Version)
 	require.NotNil(t, received.Snapshot.TenantOf("k"))
 	require.Equal(t, int64(3), received.Weights["m"].Newest())
-	require.False(t, received.AsOf.After(readAt), "it is not taken to be newer than it is")
+	require.False(t, received.AsOf.After(readAt), "the replica must not look newer than it is")
 	require.WithinDuration(t, readAt, received.AsOf, 400*time.Millisecond)
 	require.Equal(t, 2, follower.Registry.Nodes())
 	require.Equal(t, registry.ViewDigest(), follower.Registry.ViewDigest())
@@ -120,7 +120,7 @@
 	follower.applyReading(catalog.ReadResult{Declaration: &catalog.Declaration{Version: 1}})
 	follower.nodesReadAt.store(time.Now())
 	setReplicaAge(time.Second)
-	require.False(t, follower.readDue(time.Now()), "what a relay told is young enough")
+	require.False(t, follower.readDue(time.Now()), "the replica is still fresh")
 	setReplicaAge(1500 * time.Millisecond)
 	require.True(t, follower.readDue(time.Now()))
 	require.NoError(t, follower.read(context.Background()))
@@ -151,7 +151,7 @@
 	relay := newFollower(store, &feedPeers{unreachable: true})
 	bootstrapAs(relay.Registry, func(r *fleet.Registry) bool { return r.IsRelay() && !r.IsReader() })
 	relay.applyReading(catalog.ReadResult{SentAt: time.Now(), Declaration: &catalog.Declaration{Version: 1}})
-	require.True(t, relay.readDue(time.Now()), "its followers need the servers, too")
+	require.True(t, relay.readDue(time.Now()), "its followers need the servers too")
 	require.NoError(t, relay.read(context.Background()))
 	require.Equal(t, countingSource{observed: 1}, *store)
 	require.False(t, relay.readDue(time.Now()))
@@ -173,15 +173,15 @@
 		upstreams := node.upstreams()
 		switch {
 		case fraction == firstReaderFraction:
-			require.Len(t, upstreams, 2, "it asks the others while it cannot read")
+			require.Len(t, upstreams, 2, "the first reader polls the others while it cannot read")
 			node.serversReadAt.store(time.Now())
 			node.applyReading(catalog.ReadResult{SentAt: time.Now(), Declaration: &catalog.Declaration{Version: 1}})
 			require.Empty(t, node.upstreams())
 		case fraction == readerFraction:
-			require.Len(t, upstreams, 2, "it asks the other readers")
+			require.Len(t, upstreams, 2, "a reader polls the other readers")
 		}
 		if fraction > firstReaderFraction {
-			require.Less(t, node.staleAge(), time.Duration(fraction*float64(node.MaxStaleness))+time.Millisecond, "another node is tried first")
+			require.Less(t, node.staleAge(), time.Duration(fraction*float64(node.MaxStaleness))+time.Millisecond, "another upstream is tried before the store")
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	require.NoError(t, follower.poll(context.Background(), "reader", &suspicionExchange{}))
 	request := follower.request("reader", &suspicionExchange{})
 	delta, _ := feed.changesSince(request)
-	require.Equal(t, request.Place, delta.Place, "there is nothing that it lacks")
+	require.Equal(t, request.Place, delta.Place, "there is nothing new")
 	require.Nil(t, delta.Loads)
 }
 
@@ -262,7 +262,7 @@
 
 func TestRestartedNodePollsBeforeBootstrap(t *testing.T) {
 	node := newFollower(&countingSource{}, &feedPeers{unreachable: true})
-	require.Empty(t, node.upstreams(), "it knows of nobody")
+	require.Empty(t, node.upstreams(), "no other node is known")
 	node.Registry.ObserveNodes([]coordination.Entry{{Key: "nodes/other/1", Value: []byte("address z")}}, time.Now())
 	require.False(t, node.Registry.Bootstrapped())
 	require.Equal(t, []string{"address"}, node.upstreams())
@@ -301,7 +301,7 @@
 		go relay.followUpstream(ctx)
 		time.Sleep(3 * upstreamRetryDelay / 2)
 		synctest.Wait()
-		require.Len(t, peers.addresses, 2, "nobody has answered")
+		require.Len(t, peers.addresses, 2, "both polls failed")
 		bootstrapAs(relay.Registry, func(r *fleet.Registry) bool { return r.IsRelay() && !r.IsReader() })
 		peers.addresses = nil
 		time.Sleep(upstreamRetryDelay)
@@ -324,7 +324,7 @@
 		defer stop()
 		go node.followUpstream(ctx)
 		time.Sleep(2100 * time.Millisecond)
-		require.Len(t, peers.addresses, 3, "it waits at the node that it asks")
+		require.Len(t, peers.addresses, 3, "it stays with its upstream")
 		feed.apply(fullUpdate([]backend.Server{{Instance: "i-1", Service: "s", Revision: 1}}, 1, time.Now()))
 		replica.Store(catalog.Advance(nil, catalog.ReadResult{SentAt: time.Now(), Declaration: &catalog.Declaration{Version: 1}}))
 		time.Sleep(time.Millisecond)
@@ -367,7 +367,7 @@
 		candidates := func() int {
 			return len(node.Set.Candidates(nil, backend.Query{Service: "s", Distance: func(string) int { return 0 }}, time.Now()))
 		}
-		require.Equal(t, 1, candidates(), "the list may have lost it")
+		require.Equal(t, 1, candidates(), "a removed server is kept for a while, since its entry may be missing by mistake")
 		time.Sleep(time.Minute)
 		node.applyServers(serverUpdate{position: at(2), readAt: time.Now()})
 		require.Zero(t, candidates())
--- a/internal/reflector/legacy_test.go
+++ b/internal/reflector/legacy_test.go
@@ -123,7 +123,7 @@
 func TestDecodesLegacyMessages(t *testing.T) {
 	request, err := decodePollRequest(bytes.NewReader(golden(t, "question.gob")))
 	require.NoError(t, err)
-	require.Equal(t, coordination.Position{Revision: 3}, request.Place, "its era is not known")
+	require.Equal(t, coordination.Position{Revision: 3}, request.Place, "a legacy build sends no era")
 	require.Equal(t, "n", request.Node)
 	require.Equal(t, legacyWorkReport().Work, request.Own.Work)
 	require.Len(t, request.Suspicions, 1)
@@ -170,7 +170,7 @@
 	require.EqualValues(t, 3, decodedDelta.Place)
 	var servers legacyServers
 	require.NoError(t, gob.NewDecoder(bytes.NewReader(decodedDelta.Servers)).Decode(&servers))
-	require.Equal(t, []string{"i"}, servers.Changed.Instance, "it calls servers by their ids")
+	require.Equal(t, []string{"i"}, servers.Changed.Instance, "a legacy build identifies servers by instance")
 	var rest legacyRest
 	require.NoError(t, gob.NewDecoder(bytes.NewReader(decodedDelta.Rest)).Decode(&rest))
 	require.Equal(t, []legacyEntry{{Key: "d", Revision: 4}}, rest.Duties)
@@ -192,7 +192,7 @@
 	node.Peers = &staticPeers{legacy}
 	require.Equal(t, errStaleUpstream, node.poll(context.Background(), "former", &suspicionExchange{}))
 	place, _ = node.Feed.cursor()
-	require.Equal(t, at(5), place, "what it tells of servers counts no more")
+	require.Equal(t, at(5), place, "its servers are ignored after the restore")
 }
 
 // staticPeers answers every poll with the same delta.
--- a/internal/reflector/reflector_test.go
+++ b/internal/reflector/reflector_test.go
@@ -53,11 +53,11 @@
 		age      time.Duration
 		disturbs bool
 	}{
-		"unsound":                 {failure.KindUnavailable, disruptionThreshold, bound, true},
-		"one failure":             {failure.KindUnavailable, disruptionThreshold - 1, bound, false},
-		"others tell":             {failure.KindUnavailable, 5 * disruptionThreshold, bound / 2, false},
-		"the rate limited":        {failure.KindRateLimited, 5 * disruptionThreshold, bound, false},
-		"nothing was read so far": {failure.KindUnavailable, disruptionThreshold, 100 * bound, true},
+		"unsound":                   {failure.KindUnavailable, disruptionThreshold, bound, true},
+		"one failure":               {failure.KindUnavailable, disruptionThreshold - 1, bound, false},
+		"other nodes deliver state": {failure.KindUnavailable, 5 * disruptionThreshold, bound / 2, false},
+		"rate limited":              {failure.KindRateLimited, 5 * disruptionThreshold, bound, false},
+		"no read for a long time":   {failure.KindUnavailable, disruptionThreshold, 100 * bound, true},
 	} {
 		reflector := &Reflector{
 			Source:       failingSource{err: failure.New(test.kind, "refused", "wait")},
@@ -102,12 +102,12 @@
 	at := time.Now()
 	read, later := at.Add(5*time.Second), at.Add(6*time.Second)
 	reflector := &Reflector{Replica: &catalog.AtomicReplica{}}
-	require.False(t, reflector.ServersReadSince(read, at), "nothing was read")
+	require.False(t, reflector.ServersReadSince(read, at), "nothing was read yet")
 	reflector.Replica.Store(&catalog.Replica{DisruptedAt: at})
 	reflector.serversReadAt.store(read)
-	require.False(t, reflector.ServersReadSince(read, at), "the entry may not have lapsed yet")
+	require.False(t, reflector.ServersReadSince(read, at), "the entry may not have expired before this read")
 	reflector.serversReadAt.store(later)
 	require.True(t, reflector.ServersReadSince(read, at))
 	reflector.Replica.Store(&catalog.Replica{DisruptedAt: at.Add(time.Second)})
-	require.False(t, reflector.ServersReadSince(read, at), "entries did not lapse")
+	require.False(t, reflector.ServersReadSince(read, at), "entries do not expire during a disruption")
 }
--- a/internal/reflector/scaling_test.go
+++ b/internal/reflector/scaling_test.go
@@ -117,15 +117,15 @@
 	list := bytes.Buffer{}
 	require.NoError(t, Delta{Whole: true, Changed: newServers(servers)}.encode(&list))
 	small, large := measure(1000), measure(2000)
-	t.Logf("list of %d bytes; 1,000 nodes: %+v, 2,000 nodes: %+v", list.Len(), small, large)
+	t.Logf("full list of %d bytes; 1,000 nodes: %+v, 2,000 nodes: %+v", list.Len(), small, large)
 
-	require.Less(t, small.start, 5*list.Len(), "each node is told the list once, and the relays tell it")
+	require.Less(t, small.start, 5*list.Len(), "each node receives the list once, and relays send it")
 	require.Less(t, float64(large.start), 1.3*float64(small.start))
 	require.Less(t, float64(large.startBusiest), 1.2*math.Sqrt2*float64(small.startBusiest))
 	for _, costs := range []cost{small, large} {
-		require.Less(t, costs.change, 2000, "a server that leaves is told alone")
-		require.Less(t, costs.relayLost, list.Len()/2, "the next relay goes on where the one before ended")
-		require.Less(t, costs.join, 3*10_000, "a node that joins is told by its number, and by the view if it is in it")
+		require.Less(t, costs.change, 2000, "a removed server is sent as a delta")
+		require.Less(t, costs.relayLost, list.Len()/2, "the next relay continues from the cursor")
+		require.Less(t, costs.join, 3*10_000, "a joining node changes the node count, and the view if it is in it")
 	}
 }
 
--- a/internal/reflector/suspicions_test.go
+++ b/internal/reflector/suspicions_test.go
@@ -228,7 +228,7 @@
 		require.Less(t, rounds, 20)
 		s.runRound()
 	}
-	t.Logf("all 340 nodes know after %d rounds", rounds)
+	t.Logf("all 340 nodes have the suspicions after %d rounds", rounds)
 	// A round is a follower's poll interval: 285 ms with 18 followers per relay.
 	interval := s.nodes[s.order[0]].pollInterval()
 	require.Less(t, time.Duration(rounds)*interval, 2*time.Second)
@@ -249,7 +249,7 @@
 	for _, n := range s.bytes {
 		peak, sum = max(peak, n), sum+n
 	}
-	t.Logf("at rest %.0f bytes a round and node; 1,280 ends at once: %d kB for the middle node beside that, %d kB for the busiest", idle, (sum/len(s.nodes)-enoughRounds*int(idle))/1000, peak/1000)
+	t.Logf("idle: %.0f bytes per round and node; 1,280 crashes at once: %d kB more for the average node, %d kB for the busiest", idle, (sum/len(s.nodes)-enoughRounds*int(idle))/1000, peak/1000)
 	for _, node := range s.nodes {
 		received := 0
 		for cursor := int64(0); cursor != node.Quarantine.Position(); {
@@ -259,7 +259,7 @@
 		}
 		require.Equal(t, 3+80*16, received)
 	}
-	require.Equal(t, len(s.nodes), s.quarantinedOn(7), "what is held off stays")
+	require.Equal(t, len(s.nodes), s.quarantinedOn(7), "the quarantine stays")
 }
 
 // meanBytesPerRound returns the mean number of bytes per node and round.
--- a/internal/reflector/transport.go
+++ b/internal/reflector/transport.go
@@ -65,7 +65,7 @@
 // checkFormat rejects a message whose format this build does not know.
 func checkFormat(format int) error {
 	if format < 0 || format > messageFormat {
-		return errors.Errorf("the message has format %d, and this node reads up to %d; replace this node by one of the newer build", format, messageFormat)
+		return errors.Errorf("message has format %d, and this node reads up to %d; upgrade this node to the newer build", format, messageFormat)
 	}
 	return nil
 }
@@ -390,7 +390,7 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-		return errors.Errorf("node %s answered with status %d (%s); run builds that know each other's messages", request.URL.Host, response.StatusCode, bytes.TrimSpace(reason))
+		return errors.Errorf("node %s responded with status %d (%s); run builds that support each other's message formats", request.URL.Host, response.StatusCode, bytes.TrimSpace(reason))
 	}
 	body := &idleTimeoutReader{Reader: io.LimitReader(response.Body, maxResponseBytes), idleTimer: idleTimer}
 	err = gob.NewDecoder(body).Decode(answer)
--- a/internal/reflector/transport_test.go
+++ b/internal/reflector/transport_test.go
@@ -45,19 +45,19 @@
 	receiver := residency.NewPeerReceiver(received)
 	require.NoError(t, receiver.Receive(address, residency.Place{}, group.Kept, time.Now()))
 	require.Equal(t, 3, received.CachedTokens("store", "", []residency.Piece{{Key: 2, Tokens: 3}}, time.Now()))
-	require.Nil(t, group.Loads, "nobody has told of any")
+	require.Nil(t, group.Loads, "no loads are known yet")
 	loads := backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 2}, Loading: []backend.Load{{Instance: "i-1", Model: "m", Version: 3}}}
 	require.True(t, feed.ApplyLoads(loads))
-	require.False(t, feed.ApplyLoads(backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 1}}), "what is older changes nothing")
+	require.False(t, feed.ApplyLoads(backend.Loads{Mark: backend.LoadsMark{Fence: 7, Sequence: 1}}), "older loads are ignored")
 	request := GroupRequest{Kept: receiver.Place(address)}
 	group, err = caller.Group(context.Background(), address, request)
 	require.NoError(t, err)
-	require.Nil(t, group.Kept, "nothing is told twice")
+	require.Nil(t, group.Kept, "updates are sent once")
 	require.Equal(t, &loads, group.Loads)
 	request.Loads = group.Loads.Mark
 	group, err = caller.Group(context.Background(), address, request)
 	require.NoError(t, err)
-	require.Nil(t, group.Loads, "nothing is told twice")
+	require.Nil(t, group.Loads, "loads are sent once")
 }
 
 func TestDeltaRoundTrip(t *testing.T) {
@@ -129,14 +129,14 @@
 
 	request.Suspicions = nil
 	request.SuspicionsPlace = 0
-	require.LessOrEqual(t, idleSize-size(request.encode), 4, "bytes of a question for the place heard")
+	require.LessOrEqual(t, idleSize-size(request.encode), 4, "bytes of the cursor in a request")
 	many := make([]quarantine.Item, 1000)
 	for i := range many {
 		many[i] = quarantine.Item{Kind: quarantine.KindCrashed, Fingerprint: quarantine.Fingerprint(rand.Uint64()), Server: rand.Uint64(), Age: time.Duration(rand.Int64N(int64(time.Minute)))}
 	}
 	delta.Suspicions = many
 	itemSize := size(delta.encode) / len(many)
-	t.Logf("%d bytes an item", itemSize)
+	t.Logf("%d bytes per item", itemSize)
 	require.LessOrEqual(t, itemSize, 40)
 }
 
--- a/internal/residency/change_log.go
+++ b/internal/residency/change_log.go
@@ -209,7 +209,7 @@
 	return data
 }
 
-var errMalformedUpdate = errors.New("the news of cached parts cannot be read; run the same version on all nodes")
+var errMalformedUpdate = errors.New("malformed update on cached pieces; all nodes must run the same version")
 
 // keyBytes is the length of an encoded key.
 const keyBytes = 4
--- a/internal/residency/change_log_test.go
+++ b/internal/residency/change_log_test.go
@@ -86,7 +86,7 @@
 	receiver.RemoveStale(start.Add(peerTimeout + time.Second + time.Millisecond))
 	require.Zero(t, ledger.CachedTokens("h", "", piece(1), start))
 	require.NoError(t, syncPeer(receiver, "owner", owner, true, start.Add(time.Minute)))
-	require.Equal(t, 1, ledger.CachedTokens("h", "", piece(1), start), "it is told anew")
+	require.Equal(t, 1, ledger.CachedTokens("h", "", piece(1), start), "the full state is sent again")
 }
 
 func TestHolderTakeoverByAnotherPeer(t *testing.T) {
@@ -100,11 +100,11 @@
 	first.Drop("h", false)
 	require.NoError(t, syncPeer(receiver, "first", first, true, start))
 	require.Equal(t, 1, ledger.CachedTokens("h", "", piece(2), start))
-	require.Zero(t, ledger.CachedTokens("h", "", piece(3), start), "the first one's word counts no more")
+	require.Zero(t, ledger.CachedTokens("h", "", piece(3), start), "the former peer's reports no longer count")
 	ledger.Replace("h", []Key{4})
 	second.Apply("h", []Change{{Key: 5, Present: true}})
 	require.NoError(t, syncPeer(receiver, "second", second, true, start))
-	require.Zero(t, ledger.CachedTokens("h", "", piece(5), start), "this node asks itself now")
+	require.Zero(t, ledger.CachedTokens("h", "", piece(5), start), "this node watches the holder itself now")
 	require.Equal(t, 1, ledger.CachedTokens("h", "", piece(4), start))
 }
 
@@ -124,7 +124,7 @@
 		receiver := NewPeerReceiver(ledger)
 		if err := receiver.Receive("owner", Place{}, data, start); err != nil {
 			require.Empty(t, ledger.holders)
-			require.Zero(t, receiver.Place("owner"), "all is asked for anew")
+			require.Zero(t, receiver.Place("owner"), "the full state is requested next")
 		}
 	})
 }
@@ -149,7 +149,7 @@
 	ledger.Replace("h", nil)
 	ledger.RecordSent("h", "life", piece(1), 1, 100, start)
 	require.Equal(t, 1, ledger.CachedTokens("h", "life", piece(1), start))
-	require.Zero(t, ledger.CachedTokens("h", "next life", piece(1), start), "a restart loses it")
+	require.Zero(t, ledger.CachedTokens("h", "next life", piece(1), start), "a restart clears the cache")
 	require.Zero(t, ledger.CachedTokens("h", "life", piece(1), start.Add(minAssumedAge)))
 }
 
@@ -159,7 +159,7 @@
 	f.Add(owner.Changes(Place{}, true))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if decoded, err := decodeUpdate(data); err != nil && decoded.sections != nil {
-			t.Fatal("a part of what cannot be read was taken")
+			t.Fatal("sections of a malformed update were returned")
 		}
 	})
 }
@@ -203,7 +203,7 @@
 	for number := range 3 * maxLogEntries {
 		l.Apply("holder", []Change{{Key: Key(3 + number%5), Present: number%2 == 0}})
 	}
-	require.Empty(t, l.log.entries, "nobody asks any more")
+	require.Empty(t, l.log.entries, "no node requests updates any more")
 	sync()
 	require.Equal(t, l.holders["holder"].cached, mirror.holders["holder"].cached)
 }
--- a/internal/residency/ledger_test.go
+++ b/internal/residency/ledger_test.go
@@ -21,7 +21,7 @@
 	require.Equal(t, 1200, ledger.CachedTokens("a", "", prompt, start))
 	require.Zero(t, ledger.CachedTokens("b", "", prompt, start))
 	ledger.RecordSent("b", "", prompt[1:], 600, 100_000, start)
-	require.Zero(t, ledger.CachedTokens("b", "", prompt, start), "what comes before is missing")
+	require.Zero(t, ledger.CachedTokens("b", "", prompt, start), "the leading piece is missing")
 	ledger.Drop("a", false)
 	require.Zero(t, ledger.CachedTokens("a", "", prompt, start))
 }
@@ -32,7 +32,7 @@
 	ledger.RecordSent("store", "", prompt, 1400, 100_000, saved)
 	require.Zero(t, ledger.CachedTokens("store", "", prompt, start))
 	ledger.RecordSent("store", "", prompt, 0, 100_000, saved.Add(time.Second))
-	require.Equal(t, 1400, ledger.CachedTokens("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not put it off")
+	require.Equal(t, 1400, ledger.CachedTokens("store", "", prompt, saved.Add(time.Millisecond)), "a later use does not delay availability")
 }
 
 func TestUnusedPiecesAreAssumedEvicted(t *testing.T) {
@@ -54,6 +54,6 @@
 		}
 		require.Equal(t, expected, ledger.CachedTokens("a", "", prompt, start))
 		ledger.RecordSent("a", "", prompt, 0, capacity, start)
-		require.Equal(t, 1400, ledger.CachedTokens("a", "", prompt, start), "use renews it")
+		require.Equal(t, 1400, ledger.CachedTokens("a", "", prompt, start), "use renews the piece")
 	})
 }
--- a/internal/residency/watcher.go
+++ b/internal/residency/watcher.go
@@ -32,7 +32,7 @@
 }
 
 // ErrBusy means that the holder accepts no more readers.
-var ErrBusy = errors.New("the holder has enough readers; this node goes by what it sends itself")
+var ErrBusy = errors.New("the holder accepts no more readers; this node relies on the requests that it sends itself")
 
 const (
 	// longPollTimeout is how long a holder keeps a query for changes open, and minPollInterval
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -50,7 +50,7 @@
 			now = now.Add(openDuration)
 			require.True(t, breaker.Allows(now))
 			breaker.Sent(now)
-			require.False(t, breaker.Allows(now), "one attempt probes")
+			require.False(t, breaker.Allows(now), "only one attempt probes")
 			breaker.Failed(DefaultBreaker, now)
 			openDuration = min(2*openDuration, DefaultBreaker.MaxOpenDuration)
 		}
@@ -81,9 +81,9 @@
 	for range DefaultBreaker.Failures {
 		breaker.Failed(DefaultBreaker, now)
 	}
-	require.True(t, breaker.Sent(now), "where nothing else is left, it is probed before the end of its rest")
+	require.True(t, breaker.Sent(now), "an attempt before the end of the open duration is the probe")
 	breaker.FailedOutsideProbe(DefaultBreaker, now)
-	require.True(t, breaker.Probing(now), "what failed beside the probe does not end it")
+	require.True(t, breaker.Probing(now), "the failure of another attempt does not end the probe")
 	breaker.ProbeAnswered()
 	require.True(t, breaker.Allows(now))
 	breaker.Failed(DefaultBreaker, now)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -29,7 +29,7 @@
 }
 
 // errRestarted means that the server has restarted since it was queried.
-var errRestarted = errors.New("the server has started again since")
+var errRestarted = errors.New("server restarted since it was queried")
 
 const (
 	callTimeout = 300 * time.Millisecond
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -93,12 +93,12 @@
 			act(t.Context(), leadership)
 			time.Sleep(50 * time.Millisecond)
 		}
-		require.Len(t, states, 2, "at rest, and at work")
+		require.Len(t, states, 2, "idle and active")
 		require.Greater(t, len(broadcasts), 1)
 		for index := 1; index < len(broadcasts); index++ {
 			require.True(t, broadcasts[index-1].Mark.Before(broadcasts[index].Mark))
 			if slices.Equal(broadcasts[index-1].Loading, broadcasts[index].Loading) {
-				require.GreaterOrEqual(t, broadcastAt[index].Sub(broadcastAt[index-1]), rebroadcastInterval, "nothing is told twice at once")
+				require.GreaterOrEqual(t, broadcastAt[index].Sub(broadcastAt[index-1]), rebroadcastInterval, "unchanged loads are not broadcast again immediately")
 			}
 		}
 		require.NotEmpty(t, broadcasts[len(broadcasts)-1].Loading)
@@ -109,7 +109,7 @@
 			_, act := controller.Step()
 			act(t.Context(), leadership)
 		}
-		require.Len(t, broadcasts, before+1, "loads that go on are told of again, once")
+		require.Len(t, broadcasts, before+1, "ongoing loads are broadcast again, once")
 	})
 }
 
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -213,11 +213,11 @@
 		{Instance: "c", Service: "s", Versions: map[string]int64{model: 3}},
 		{Instance: "d", Service: "s", Versions: map[string]int64{model: 1}, Draining: true},
 	}
-	require.Len(t, machine.Step(now, targets, servers), 2, "both are asked for their count of orders")
+	require.Len(t, machine.Step(now, targets, servers), 2, "both are queried for their count of orders")
 	machine.Inspected(now, "a", Report{Versions: servers[0].Versions, Sequence: 4})
 	machine.Inspected(now, "b", Report{Versions: servers[1].Versions, Sequence: 2})
 	actions := machine.Step(now, targets, servers)
-	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, InFlight: ContinueInFlight}}, actions, "straight to the newest, one at a time")
+	require.Equal(t, []Action{Order{Server: servers[1], Model: model, Version: 3, Expected: 2, InFlight: ContinueInFlight}}, actions, "directly to the newest version, one server at a time")
 }
 
 func TestConcurrencyRisesNearDeadline(t *testing.T) {
@@ -237,12 +237,12 @@
 	targets.FinishWithin = 0
 	require.Equal(t, 3, orders(targets))
 	targets.OrderWithin = 0
-	require.Equal(t, 12, orders(targets), "nothing may begin on the old weights any more")
+	require.Equal(t, 12, orders(targets), "no request may start on the old weights any more")
 	targets.FinishWithin, targets.OrderWithin = 6*time.Second, 7*time.Second
 	targets.Weights[model][1].UnreleasedAt = now.Add(-10 * time.Second)
 	require.Equal(t, 12, orders(targets))
 	targets.DisruptedAt = now.Add(-time.Second)
-	require.Equal(t, 3, orders(targets), "the time in which the store was away does not count")
+	require.Equal(t, 3, orders(targets), "the time of the store outage does not count")
 }
 
 func TestStateRoundTrip(t *testing.T) {
@@ -321,10 +321,10 @@
 	orders := machine.Step(now.Add(notice), targets, servers)
 	require.Len(t, orders, 1)
 	require.Equal(t, int64(2), orders[0].(Order).Version)
-	require.Empty(t, machine.Step(now.Add(notice), targets, servers), "it goes out once")
+	require.Empty(t, machine.Step(now.Add(notice), targets, servers), "the order is sent once")
 
 	targets.OrderWithin = notice / 2
-	require.Len(t, newMachine().Step(now, targets, servers), 1, "there is no time")
+	require.Len(t, newMachine().Step(now, targets, servers), 1, "there is no time to wait for propagation")
 }
 
 // Guards against a slower rollout due to the propagation delay: the same number of servers must
@@ -354,8 +354,8 @@
 	start := time.Unix(1000, 0)
 	server := backend.Server{Instance: "i-1", Service: "s", Versions: map[string]int64{model: 1}}
 	for name, one := range map[string]struct{ rest, ordered time.Duration }{
-		"a short rest":               {rest: 2 * time.Second, ordered: 2 * time.Second},
-		"a rest beyond the deadline": {rest: time.Hour, ordered: 7 * time.Second},
+		"a short backoff":               {rest: 2 * time.Second, ordered: 2 * time.Second},
+		"a backoff beyond the deadline": {rest: time.Hour, ordered: 7 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machine := NewMachine()
@@ -366,7 +366,7 @@
 			ordered := time.Time{}
 			for now := start; ordered.IsZero() && now.Before(start.Add(10*time.Second)); now = now.Add(50 * time.Millisecond) {
 				for _, action := range machine.Step(now, targets, []backend.Server{server}) {
-					require.False(t, now.Before(start.Add(one.ordered)), "it is neither asked nor ordered while it rests")
+					require.False(t, now.Before(start.Add(one.ordered)), "the server gets neither queries nor orders during its backoff")
 					switch action.(type) {
 					case Inspect:
 						machine.Inspected(now, "i-1", Report{Versions: server.Versions})
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -30,7 +30,7 @@
 func DecodeState(data []byte) (State, error) {
 	var state State
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&state); err != nil {
-		return State{}, errors.Annotate(err, "the published state of the roll-out cannot be read; run one version on all nodes")
+		return State{}, errors.Annotate(err, "malformed rollout state; all nodes must run the same version")
 	}
 	return state, nil
 }
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -36,7 +36,7 @@
 			most = max(most, candidates[index].HitBlocks)
 			newest = max(newest, candidates[index].Version)
 			if candidates[index].AffinityRank < affinityKept {
-				require.Contains(t, sampled, index, "the first by affinity stay")
+				require.Contains(t, sampled, index, "the first by affinity are kept")
 			}
 		}
 		sampledMost, sampledNewest := 0, int64(0)
@@ -44,8 +44,8 @@
 			sampledMost = max(sampledMost, candidates[index].HitBlocks)
 			sampledNewest = max(sampledNewest, candidates[index].Version)
 		}
-		require.Equal(t, most, sampledMost, "whoever holds most stays")
-		require.Equal(t, newest, sampledNewest, "the newest weights stay")
+		require.Equal(t, most, sampledMost, "the largest hit is kept")
+		require.Equal(t, newest, sampledNewest, "the newest version is kept")
 	})
 }
 
@@ -87,6 +87,6 @@
 	}
 	withoutSampling := longestQueue(func(*rand.Rand) uint64 { return 0 })
 	withSampling := longestQueue(func(random *rand.Rand) uint64 { return random.Uint64() | 1 })
-	t.Logf("longest queue: %d if all are compared, %d if few are", withoutSampling, withSampling)
+	t.Logf("longest queue: %d without sampling, %d with sampling", withoutSampling, withSampling)
 	require.Less(t, 3*withSampling, 2*withoutSampling)
 }
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -99,7 +99,7 @@
 	settings := ProxyDefaults()
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return settings, errors.Annotate(err, "cannot read the settings; name a file that exists")
+		return settings, errors.Annotate(err, "cannot read settings; specify a readable file")
 	}
 	if err := strictyaml.DecodePartial(path, data, &settings); err != nil {
 		return settings, err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,7 +73,7 @@
 	settings := Defaults()
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return settings, errors.Annotate(err, "cannot read the settings; name a file that exists")
+		return settings, errors.Annotate(err, "cannot read settings; specify a readable file")
 	}
 	err = strictyaml.DecodePartial(path, data, &settings)
 	return settings, err
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -169,7 +169,7 @@
 		case !known:
 			walk.report(child, "unknown key", "use one of: "+strings.Join(names, ", "))
 		case seen[key]:
-			walk.report(child, "key given twice", "keep one of them")
+			walk.report(child, "duplicate key", "remove one of them")
 		default:
 			seen[key] = true
 			walk.checkNode(child, iterator.Value(), field)
@@ -180,7 +180,7 @@
 func (walk *walker) checkSequence(path string, node ast.Node, kind reflect.Type) {
 	items, ok := node.(*ast.SequenceNode)
 	if !ok {
-		walk.report(path, "is not a list", "write it as - items")
+		walk.report(path, "is not a list", "write it as a list of - items")
 		return
 	}
 	for index, item := range items.Values {
@@ -276,7 +276,7 @@
 	case "hexadecimal":
 		return "is not hexadecimal", "use digits 0-9 and a-f"
 	case "oneof":
-		return fmt.Sprintf("%q is not a choice", failure.Value()), "use one of: " + failure.Param()
+		return fmt.Sprintf("%q is not an accepted value", failure.Value()), "use one of: " + failure.Param()
 	case "unique":
 		return "has entries with the same " + strings.ToLower(failure.Param()), "make them unique"
 	default:
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -147,7 +147,7 @@
 
 // QuarantinePersisted records a write of a request's quarantine state to the shared store.
 func (recorder *Recorder) QuarantinePersisted(fingerprint quarantine.Fingerprint, held bool, err error) {
-	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("the store is told of a request that is held off")
+	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("quarantine state written to the store")
 }
 
 // NoticeReceived records the server state reported in response headers: all of it, what has
@@ -155,13 +155,13 @@
 func (recorder *Recorder) NoticeReceived(server string, notice, changed backend.Notice, parseError error) {
 	if parseError != nil {
 		recorder.metrics.notices.WithLabelValues("unreadable").Inc()
-		recorder.limitedLine(zerolog.WarnLevel).Str("server", server).Err(parseError).Msg("a server's word of itself is passed over")
+		recorder.limitedLine(zerolog.WarnLevel).Str("server", server).Err(parseError).Msg("ignored a malformed server header")
 	}
 	if notice.Leaving {
 		recorder.metrics.notices.WithLabelValues("leaving").Inc()
 	}
 	if changed.Leaving {
-		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("a server says that it leaves")
+		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("server is draining")
 	}
 	if notice.UnknownHeader != "" {
 		recorder.unknownHeader(server, notice.UnknownHeader)
@@ -171,7 +171,7 @@
 	}
 	if notice.RetryAfter > 0 {
 		recorder.metrics.notices.WithLabelValues("rest").Inc()
-		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.RetryAfter).Dur("rest", changed.RetryAfter).Msg("a server asks for rest")
+		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Dur("asked", notice.RetryAfter).Dur("rest", changed.RetryAfter).Msg("server asked for a backoff")
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	recorder.mutex.Unlock()
 	if !logged {
-		recorder.log.Warn().Str("server", server).Str("word", header).Msg("servers say a word of themselves that this build does not know")
+		recorder.log.Warn().Str("server", server).Str("word", header).Msg("unknown server header")
 	}
 }
 
@@ -200,27 +200,27 @@
 // RateLimitAdvertised records a new or changed rate limit of a server. The limit, in requests per
 // second, applies to all nodes together.
 func (recorder *Recorder) RateLimitAdvertised(server string, perSecond float64) {
-	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("a server names how much it takes")
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Float64("limit", perSecond).Msg("server advertises a rate limit")
 }
 
 // RateLimitLifted records that a server no longer advertises a rate limit.
 func (recorder *Recorder) RateLimitLifted(server string) {
-	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("a server names no limit any more")
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("server no longer advertises a rate limit")
 }
 
 // PeerRateLimit records a server's rate limit as reported by another node.
 func (recorder *Recorder) PeerRateLimit(server string, change quota.LimitChange) {
 	line := recorder.limitedLine(zerolog.InfoLevel).Str("server", server)
 	if change.Lifted {
-		line.Msg("another node says that a server names no limit any more")
+		line.Msg("peer reports that a server no longer advertises a rate limit")
 		return
 	}
-	line.Float64("limit", change.PerSecond).Msg("another node says how much a server takes")
+	line.Float64("limit", change.PerSecond).Msg("peer reports the rate limit of a server")
 }
 
 // PeerDraining records a draining server as reported by another node.
 func (recorder *Recorder) PeerDraining(server string) {
-	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("another node says that a server leaves")
+	recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("peer reports that a server is draining")
 }
 
 // costDict returns the terms of a cost in milliseconds of engine time.
@@ -310,9 +310,9 @@
 	recorder.mutex.Unlock()
 	switch {
 	case changed && err != nil:
-		recorder.log.Warn().Dur("took", took).Err(err).Msg("the store cannot be read")
+		recorder.log.Warn().Dur("took", took).Err(err).Msg("store read failed")
 	case changed:
-		recorder.log.Info().Dur("took", took).Msg("the store can be read again")
+		recorder.log.Info().Dur("took", took).Msg("store is readable again")
 	}
 }
 
@@ -324,19 +324,19 @@
 // UpstreamChanged records which node this one polls, and why it left the previous one.
 func (recorder *Recorder) UpstreamChanged(node string, left error) {
 	recorder.metrics.upstreamChanges.Inc()
-	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("another node is followed")
+	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("upstream node changed")
 }
 
 // ConfigurationChanged records a change of the node's replica of the declaration.
 func (recorder *Recorder) ConfigurationChanged(before, after *catalog.Replica) {
 	if after.Snapshot != nil && (before == nil || before.Snapshot != after.Snapshot) {
 		recorder.metrics.declarationVersion.Set(float64(after.Snapshot.Version))
-		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("a declaration is in force")
+		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("declaration is in force")
 	}
 	for model, namings := range after.Weights {
 		newest := namings.Newest()
 		if before == nil || before.Weights[model].Newest() != newest {
-			recorder.log.Info().Str("model", model).Int64("version", newest).Msg("weights were named")
+			recorder.log.Info().Str("model", model).Int64("version", newest).Msg("new weights version released")
 		}
 	}
 }
@@ -355,7 +355,7 @@
 	for _, change := range changes {
 		server := change.Server
 		recorder.log.Info().Str("server", server.Instance).Str("service", server.Service).Str("address", server.Address).
-			Bool("draining", server.Draining).Bool("gone", change.Gone).Msg("a server changed")
+			Bool("draining", server.Draining).Bool("gone", change.Gone).Msg("server list entry changed")
 	}
 }
 
@@ -369,13 +369,13 @@
 			draining++
 		}
 	}
-	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", removed).Msg("many servers changed")
+	recorder.log.Info().Int("changes", len(changes)).Int("draining", draining).Int("gone", removed).Msg("many server list entries changed")
 }
 
 // ViewPublished records that this node wrote, or failed to write, the fleet view that starting
 // nodes bootstrap from.
 func (recorder *Recorder) ViewPublished(err error) {
-	recorder.log.Info().Err(err).Msg("the view of the fleet is published")
+	recorder.log.Info().Err(err).Msg("fleet view written to the store")
 }
 
 // FleetResized records the number of nodes in the fleet, and logs it if it has changed.
@@ -385,18 +385,18 @@
 	recorder.nodes = nodes
 	recorder.mutex.Unlock()
 	if before != nodes {
-		recorder.log.Info().Int("nodes", nodes).Int("before", before).Msg("the fleet changed")
+		recorder.log.Info().Int("nodes", nodes).Int("before", before).Msg("fleet size changed")
 	}
 }
 
 // Acquired records that this node has become the rollout leader.
 func (recorder *Recorder) Acquired(fence int64, settled time.Duration) {
-	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("this node orders servers to load weights")
+	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("acquired rollout leadership")
 }
 
 // Released records that this node is no longer the rollout leader.
 func (recorder *Recorder) Released(fence int64, reason string) {
-	recorder.log.Info().Int64("fence", fence).Str("reason", reason).Msg("this node orders servers no longer")
+	recorder.log.Info().Int64("fence", fence).Str("reason", reason).Msg("released rollout leadership")
 }
 
 var orderResults = map[rollout.Result]string{
@@ -420,40 +420,40 @@
 // Loaded records that a server has loaded the weights that it was ordered to.
 func (recorder *Recorder) Loaded(loaded rollout.Loaded) {
 	recorder.log.Info().Str("server", loaded.Order.Server.Instance).Str("model", loaded.Order.Model).
-		Int64("version", loaded.Order.Version).Dur("took", loaded.Took).Msg("weights are loaded")
+		Int64("version", loaded.Order.Version).Dur("took", loaded.Took).Msg("server loaded weights")
 }
 
 // WatchLost records that the cache of a holder cannot be watched any more.
 func (recorder *Recorder) WatchLost(holder string, err error) {
-	recorder.log.Warn().Str("holder", holder).Err(err).Msg("cached parts cannot be followed")
+	recorder.log.Warn().Str("holder", holder).Err(err).Msg("cache watch failed")
 }
 
 // WatchStarted records that the cache of a holder is being watched.
 func (recorder *Recorder) WatchStarted(holder string) {
-	recorder.log.Info().Str("holder", holder).Msg("cached parts are followed")
+	recorder.log.Info().Str("holder", holder).Msg("cache watch started")
 }
 
 // CacheUpdatesRejected records malformed cache updates from another node.
 func (recorder *Recorder) CacheUpdatesRejected(node string, err error) {
 	recorder.metrics.malformedUpdates.Inc()
-	recorder.log.Warn().Str("from", node).Err(err).Msg("news of cached parts are dropped")
+	recorder.log.Warn().Str("from", node).Err(err).Msg("dropped malformed cache updates")
 }
 
 // StoreRestored records that the shared store was restored from an older copy.
 func (recorder *Recorder) StoreRestored(before, after int64) {
 	recorder.metrics.storeRestores.Inc()
-	recorder.log.Warn().Int64("before", before).Int64("era", after).Msg("the store has gone back")
+	recorder.log.Warn().Int64("before", before).Int64("era", after).Msg("store was restored from an older copy")
 }
 
 // EraIgnored records an invalid or outdated store era in a response of the store or of a node.
 func (recorder *Recorder) EraIgnored(value string, current int64) {
-	recorder.limitedLine(zerolog.WarnLevel).Str("told", value).Int64("era", current).Msg("an era of the store is passed over")
+	recorder.limitedLine(zerolog.WarnLevel).Str("told", value).Int64("era", current).Msg("ignored a store era")
 }
 
 // EntryUnreadable records a store entry that was skipped.
 func (recorder *Recorder) EntryUnreadable(key string, at coordination.Position, err error) {
 	recorder.metrics.unreadable.WithLabelValues(metricReason(err)).Inc()
-	recorder.limitedLine(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("an entry cannot be read and is skipped")
+	recorder.limitedLine(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("skipped an unreadable store entry")
 }
 
 // reasonedError is an error with a reason for metrics.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -19,7 +19,7 @@
 	"github.com/cloverrail/cloverrail/internal/proxy"
 )
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 // blocked is an output whose writes block until released is closed.
 type blocked struct{ released chan struct{} }
@@ -117,10 +117,10 @@
 	changes := make([]backend.Change, 10_000)
 	changes[3].Gone, changes[4].Server.Draining = true, true
 	recorder.ServersChanged(changes)
-	require.JSONEq(t, `{"level":"info","changes":10000,"draining":1,"gone":1,"message":"many servers changed"}`, written.String())
+	require.JSONEq(t, `{"level":"info","changes":10000,"draining":1,"gone":1,"message":"many server list entries changed"}`, written.String())
 	written.Reset()
 	recorder.ServersChanged(changes[:maxChangeLines])
-	require.Equal(t, maxChangeLines, bytes.Count(written.Bytes(), []byte("a server changed")))
+	require.Equal(t, maxChangeLines, bytes.Count(written.Bytes(), []byte("server list entry changed")))
 }
 
 // Unknown headers are counted, and logged once each up to a bound, so that a server with arbitrary
