--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -2,7 +2,8 @@
 // ordered to load them. One node at a time executes these decisions, under a lease whose fencing
 // token is sent with every order.
 //
-// Machine is a pure state machine.
+// Machine makes the decisions. It is a pure state machine: it reads no clock and sends nothing.
+// Controller executes them.
 package rollout
 
 import (
@@ -59,10 +60,10 @@
 	// ContinueInFlight continues them with the new weights. The output generated from then on is
 	// worthless.
 	//
-	// The rollout always uses this policy. With n requests in flight it loses about half of each
-	// answer. AwaitInFlight blocks new requests until the longest of them has finished, in which
-	// time the server would have answered n or more: it answers n in the mean duration of a
-	// request.
+	// The rollout always uses this policy, since it costs less. With n requests in flight, it
+	// loses about half of each of n answers. AwaitInFlight blocks new requests until the longest
+	// of the n has finished. In the mean duration of a request the server answers n requests, so
+	// that at least n answers are lost.
 	ContinueInFlight
 )
 
@@ -99,7 +100,8 @@
 	resendAfter = time.Second
 	// failureBackoff is how long a server is skipped after an order or a query to it has failed.
 	failureBackoff = 500 * time.Millisecond
-	// defaultLoadTime is the assumed duration of a load before any was observed.
+	// defaultLoadTime is the assumed duration of a load before any was observed, and
+	// loadTimeGain the weight of each observed one in the moving average.
 	defaultLoadTime = time.Second
 	loadTimeGain    = 0.3
 	// overdueFactor is the multiple of the usual load time after which other servers no longer
@@ -115,8 +117,8 @@
 type Machine struct {
 	pending      map[string]*pendingLoad
 	backoffUntil map[string]time.Time
-	// sequences holds the count of orders that each server last reported, and contactedAt the
-	// time of the last order or query to it.
+	// sequences holds the number of orders that each server has accepted, as far as known, and
+	// contactedAt the time of the last order or query to it.
 	sequences   map[string]int64
 	contactedAt map[string]time.Time
 	loadTime    time.Duration
@@ -132,8 +134,8 @@
 	sentAt      time.Time
 	firstSentAt time.Time
 	// orderBy is the deadline for sending the order.
-	orderBy time.Time
-	taken   bool
+	orderBy  time.Time
+	accepted bool
 }
 
 // sent reports whether the order has been sent.
@@ -151,8 +153,8 @@
 	}
 }
 
-// AnyBehind reports whether any server needs an order.
-func AnyBehind(targets Targets, servers []backend.Server, now time.Time) bool {
+// AnyStale reports whether any server that is not draining lacks a released version.
+func AnyStale(targets Targets, servers []backend.Server, now time.Time) bool {
 	for _, server := range servers {
 		if _, outdated := targets.staleness(server, now); outdated && !server.Draining {
 			return true
@@ -167,8 +169,8 @@
 // Loads returns the progress of the rollout in a stable order.
 func (machine *Machine) Loads() backend.Loads {
 	loads := backend.Loads{}
-	for _, move := range machine.pending {
-		loads.Loading = append(loads.Loading, backend.Load{Instance: move.order.Server.Instance, Model: move.order.Model, Version: move.order.Version})
+	for _, pending := range machine.pending {
+		loads.Loading = append(loads.Loading, backend.Load{Instance: pending.order.Server.Instance, Model: pending.order.Model, Version: pending.order.Version})
 	}
 	for _, load := range machine.loaded {
 		loads.Loaded = append(loads.Loaded, load)
@@ -196,7 +198,7 @@
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		actions = append(actions, machine.stepService(now, targets, services[name])...)
 	}
-	if machine.Idle() && !AnyBehind(targets, servers, now) {
+	if machine.Idle() && !AnyStale(targets, servers, now) {
 		clear(machine.loaded)
 	}
 	return actions
@@ -205,32 +207,32 @@
 func (machine *Machine) stepService(now time.Time, targets Targets, servers []backend.Server) []Action {
 	actions := []Action{}
 	loading := 0
-	behind := []staleServer{}
+	stale := []staleServer{}
 	for _, server := range servers {
-		if move := machine.pending[server.Incarnation()]; move != nil {
-			if machine.inProgress(now, move, server) {
-				if !machine.overdue(now, move) {
+		if pending := machine.pending[server.Incarnation()]; pending != nil {
+			if machine.inProgress(now, pending, server) {
+				if !machine.overdue(now, pending) {
 					loading++
 				}
-				if !targets.inBackoff(server, move.orderBy, now) {
+				if !targets.inBackoff(server, pending.orderBy, now) {
 					actions = append(actions, machine.sendIfDue(now, server)...)
-					actions = append(actions, machine.followUp(now, targets, move, server)...)
+					actions = append(actions, machine.followUp(now, targets, pending, server)...)
 				}
 				continue
 			}
 			machine.finish(server.Incarnation())
-			if move.sent() {
-				actions = append(actions, Loaded{Order: move.order, Took: now.Sub(move.firstSentAt)})
+			if pending.sent() {
+				actions = append(actions, Loaded{Order: pending.order, Took: now.Sub(pending.firstSentAt)})
 			}
 		}
 		candidate, outdated := targets.staleness(server, now)
 		if outdated && !server.Draining && !now.Before(machine.backoffUntil[server.Incarnation()]) && !targets.inBackoff(server, candidate.orderBy, now) {
-			behind = append(behind, candidate)
+			stale = append(stale, candidate)
 		}
 	}
-	sortByUrgency(behind, targets.Uses)
-	slots := machine.includingPropagation(machine.concurrency(now, behind, loading, len(servers)), targets.PropagationDelay) - loading
-	for _, candidate := range behind {
+	sortByUrgency(stale, targets.Uses)
+	slots := machine.includingPropagation(machine.concurrency(now, stale, loading, len(servers)), targets.PropagationDelay) - loading
+	for _, candidate := range stale {
 		expected, reported := machine.sequences[candidate.server.Incarnation()]
 		switch {
 		case !reported:
@@ -257,14 +259,14 @@
 
 // sendIfDue returns the order of a load if it is due.
 func (machine *Machine) sendIfDue(now time.Time, server backend.Server) []Action {
-	move := machine.pending[server.Incarnation()]
-	if move.sent() || now.Before(move.sendAt) {
+	pending := machine.pending[server.Incarnation()]
+	if pending.sent() || now.Before(pending.sendAt) {
 		return nil
 	}
-	move.order.Server = server
-	move.sentAt, move.firstSentAt = now, now
+	pending.order.Server = server
+	pending.sentAt, pending.firstSentAt = now, now
 	machine.contactedAt[server.Incarnation()] = now
-	return []Action{move.order}
+	return []Action{pending.order}
 }
 
 // inspect queries the status of a server, unless it was contacted recently.
@@ -284,69 +286,70 @@
 	delete(machine.pending, instance)
 }
 
-// inProgress reports whether an order has not taken effect yet. Otherwise the load time is
-// updated with its duration.
-func (machine *Machine) inProgress(now time.Time, move *pendingLoad, server backend.Server) bool {
-	if server.Versions[move.order.Model] < move.order.Version {
+// inProgress reports whether an order has not taken effect yet. If a sent one has, the moving
+// average of the load time is updated with its duration.
+func (machine *Machine) inProgress(now time.Time, pending *pendingLoad, server backend.Server) bool {
+	if server.Versions[pending.order.Model] < pending.order.Version {
 		return true
 	}
-	if !move.sent() {
+	if !pending.sent() {
 		return false
 	}
-	took := now.Sub(move.firstSentAt)
+	took := now.Sub(pending.firstSentAt)
 	machine.loadTime += time.Duration(loadTimeGain * float64(took-machine.loadTime))
 	return false
 }
 
 // overdue reports whether a load takes so long that others should no longer wait for it.
-func (machine *Machine) overdue(now time.Time, move *pendingLoad) bool {
-	return move.sent() && now.Sub(move.firstSentAt) > overdueFactor*machine.loadTime
+func (machine *Machine) overdue(now time.Time, pending *pendingLoad) bool {
+	return pending.sent() && now.Sub(pending.firstSentAt) > overdueFactor*machine.loadTime
 }
 
 // followUp queries the status of the server, and repeats an order that seems lost.
-func (machine *Machine) followUp(now time.Time, targets Targets, move *pendingLoad, server backend.Server) []Action {
-	if !move.sent() {
+func (machine *Machine) followUp(now time.Time, targets Targets, pending *pendingLoad, server backend.Server) []Action {
+	if !pending.sent() {
 		return nil
 	}
-	if !move.taken && now.Sub(move.sentAt) >= targets.minInterval(server, resendAfter) {
-		move.sentAt = now
-		move.order.Server = server
-		return []Action{move.order}
+	if !pending.accepted && now.Sub(pending.sentAt) >= targets.minInterval(server, resendAfter) {
+		pending.sentAt = now
+		pending.order.Server = server
+		return []Action{pending.order}
 	}
 	return machine.inspect(now, targets, server)
 }
 
 // concurrency returns the number of servers that should load concurrently to meet the deadline.
 // It starts low, because loads slow each other down.
-func (machine *Machine) concurrency(now time.Time, behind []staleServer, loading, all int) int {
-	if len(behind) == 0 {
+func (machine *Machine) concurrency(now time.Time, stale []staleServer, loading, all int) int {
+	if len(stale) == 0 {
 		return 0
 	}
 	least, most := max(1, all/minConcurrencyDivisor), max(1, all/maxConcurrencyDivisor)
-	rounds := behind[0].deadline.Sub(now).Seconds() / machine.loadTime.Seconds()
+	rounds := stale[0].deadline.Sub(now).Seconds() / machine.loadTime.Seconds()
 	if rounds < 1 {
 		return most
 	}
-	wanted := int(math.Ceil(float64(len(behind)+loading) / math.Floor(rounds)))
+	wanted := int(math.Ceil(float64(len(stale)+loading) / math.Floor(rounds)))
 	return min(max(least, wanted), most)
 }
 
 // includingPropagation returns the number of planned and ongoing loads that keep the given
-// number of servers loading, since a load in its propagation delay is not yet loading.
+// number of servers loading. It is higher, since a planned load waits for its propagation delay
+// before its order is sent.
 func (machine *Machine) includingPropagation(loading int, delay time.Duration) int {
 	return int(float64(loading) * (1 + delay.Seconds()/machine.loadTime.Seconds()))
 }
 
 // OrderAnswered records a server's answer to an order.
 func (machine *Machine) OrderAnswered(now time.Time, instance string, result Result) {
-	move := machine.pending[instance]
-	if move == nil {
+	pending := machine.pending[instance]
+	if pending == nil {
 		return
 	}
 	switch result {
 	case ResultAccepted:
-		move.taken = true
-		machine.sequences[instance] = move.order.Expected + 1
+		pending.accepted = true
+		machine.sequences[instance] = pending.order.Expected + 1
 	case ResultAlreadyLoaded:
 		// The next report shows it.
 	case ResultConflict, ResultRejected, ResultFenced, ResultUnreachable:
@@ -366,12 +369,12 @@
 // Inspected records a server's report. The caller has already updated the server set with its
 // versions. Reports may be delayed, so they never lower the count of orders.
 func (machine *Machine) Inspected(now time.Time, instance string, report Report) {
-	move := machine.pending[instance]
+	pending := machine.pending[instance]
 	machine.sequences[instance] = max(report.Sequence, machine.sequences[instance])
-	if move == nil || report.Versions[move.order.Model] >= move.order.Version {
+	if pending == nil || report.Versions[pending.order.Model] >= pending.order.Version {
 		return
 	}
-	if move.taken && !report.Busy && now.Sub(move.sentAt) >= resendAfter {
+	if pending.accepted && !report.Busy && now.Sub(pending.sentAt) >= resendAfter {
 		// The server accepted the order but lost it, since it is not busy any more.
 		delete(machine.pending, instance)
 	}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -196,7 +196,7 @@
 		for _, server := range simulation.servers {
 			require.Equal(t, newestVersion, server.version, server.name)
 		}
-		require.False(t, AnyBehind(simulation.targets, simulation.list(), simulation.now))
+		require.False(t, AnyStale(simulation.targets, simulation.list(), simulation.now))
 		require.True(t, simulation.machine.Idle())
 	})
 }
@@ -327,8 +327,8 @@
 	require.Len(t, newMachine().Step(now, targets, servers), 1, "there is no time to wait for propagation")
 }
 
-// Guards against a slower rollout due to the propagation delay: the same number of servers must
-// load concurrently as without it.
+// Guards against a slower rollout due to the propagation delay: more loads must be planned, so
+// that as many servers load concurrently as without it.
 func TestPropagationDelayDoesNotReduceConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	planned := func(propagation time.Duration) int {
@@ -360,7 +360,7 @@
 		t.Run(name, func(t *testing.T) {
 			machine := NewMachine()
 			targets := Targets{
-				FinishWithin: 6 * time.Second, OrderWithin: 7 * time.Second, Resting: map[string]time.Time{"i-1": start.Add(one.rest)},
+				FinishWithin: 6 * time.Second, OrderWithin: 7 * time.Second, ServersInBackoff: map[string]time.Time{"i-1": start.Add(one.rest)},
 				Weights: map[string]catalog.Releases{model: {{Version: 1}, {Version: 2, UnreleasedAt: start}}},
 			}
 			ordered := time.Time{}
--- a/internal/rollout/targets.go
+++ b/internal/rollout/targets.go
@@ -17,8 +17,8 @@
 	// OrderWithin is the time after a release by which every server must have received its
 	// order: from then on no request may start on the old weights.
 	OrderWithin time.Duration
-	// DisruptedAt is the time of the last failure to read the shared store. No server could be
-	// updated until then, so earlier time does not count.
+	// DisruptedAt is when the shared store was last disrupted. No server could be updated until
+	// then, so the time before it does not count towards the deadlines.
 	DisruptedAt time.Time
 	// PropagationDelay is how long before its order a server is broadcast as loading, so that
 	// nodes that learn of it late do not send it requests that it would reject.
@@ -26,9 +26,9 @@
 	// Uses holds the requests in flight at each instance. Those with the fewest go first, since
 	// a load begins when these have ended.
 	Uses map[string]backend.Use
-	// Resting holds the servers that have asked this node to back off, with the end of the
-	// backoff.
-	Resting map[string]time.Time
+	// ServersInBackoff holds the servers that have asked this node to back off, with the end of
+	// the backoff.
+	ServersInBackoff map[string]time.Time
 	// MinInterval returns the minimum time between two calls to a server, as set by its rate
 	// limit.
 	MinInterval func(server backend.Server) time.Duration
@@ -50,7 +50,7 @@
 // inBackoff reports whether a server that has asked this node to back off is left alone for now.
 // At the deadline for its order the new weights take precedence over the backoff.
 func (targets Targets) inBackoff(server backend.Server, orderBy, now time.Time) bool {
-	return now.Before(targets.Resting[server.Incarnation()]) && now.Before(orderBy)
+	return now.Before(targets.ServersInBackoff[server.Incarnation()]) && now.Before(orderBy)
 }
 
 // staleServer is a server that lacks the newest version of a model, with deadlines counted from
@@ -94,9 +94,9 @@
 
 // sortByUrgency sorts by deadline. Among equal deadlines it alternates between zones, and within
 // each zone starts with the servers with the least work.
-func sortByUrgency(behind []staleServer, uses map[string]backend.Use) {
-	sort.Slice(behind, func(i, j int) bool {
-		first, second := behind[i].server.Incarnation(), behind[j].server.Incarnation()
+func sortByUrgency(stale []staleServer, uses map[string]backend.Use) {
+	sort.Slice(stale, func(i, j int) bool {
+		first, second := stale[i].server.Incarnation(), stale[j].server.Incarnation()
 		if uses[first] != uses[second] {
 			return uses[first].Less(uses[second])
 		}
@@ -104,12 +104,12 @@
 	})
 	countInZone := map[string]int{}
 	rank := map[string]int{}
-	for _, candidate := range behind {
+	for _, candidate := range stale {
 		rank[candidate.server.Incarnation()] = countInZone[candidate.server.Zone]
 		countInZone[candidate.server.Zone]++
 	}
-	sort.SliceStable(behind, func(i, j int) bool {
-		first, second := behind[i], behind[j]
+	sort.SliceStable(stale, func(i, j int) bool {
+		first, second := stale[i], stale[j]
 		if !first.deadline.Equal(second.deadline) {
 			return first.deadline.Before(second.deadline)
 		}
--- a/internal/routing/scheduler.go
+++ b/internal/routing/scheduler.go
@@ -9,7 +9,8 @@
 // Scorer computes one term of the cost of serving a request on a candidate, in seconds
 // of engine time.
 type Scorer interface {
-	// Name returns the name of the term.
+	// Name returns the name of the term in logs, which must not change. Those of some scorers
+	// therefore differ from their types.
 	Name() string
 	Score(request *Request, candidate *Candidate) float64
 }
@@ -64,12 +65,12 @@
 		scheduler.costs = append(scheduler.costs, scheduler.Cost(request, &candidates[index]))
 	}
 	decision.Index = Pick(candidates, scheduler.accepted, scheduler.costs)
-	decision.Next = scheduler.runnerUp(candidates, decision.Index)
+	decision.Next = scheduler.nextCheapest(candidates, decision.Index)
 	return decision
 }
 
-// runnerUp returns the cheapest accepted candidate other than the chosen one, or -1.
-func (scheduler *Scheduler) runnerUp(candidates []Candidate, chosen int) int {
+// nextCheapest returns the cheapest accepted candidate other than the chosen one, or -1.
+func (scheduler *Scheduler) nextCheapest(candidates []Candidate, chosen int) int {
 	position := slices.Index(scheduler.accepted, chosen)
 	if position < 0 {
 		return -1
@@ -107,15 +108,15 @@
 }
 
 // assignAffinityRanks ranks the candidates with the highest affinities; all others get
-// maximumRank. It takes linear time.
+// maxAffinityRank. It takes linear time.
 func assignAffinityRanks(candidates []Candidate, accepted []int) {
 	for _, index := range accepted {
-		candidates[index].AffinityRank = maximumRank
+		candidates[index].AffinityRank = maxAffinityRank
 	}
-	for position := range min(maximumRank, len(accepted)) {
+	for position := range min(maxAffinityRank, len(accepted)) {
 		best := -1
 		for _, index := range accepted {
-			unranked := candidates[index].AffinityRank == maximumRank
+			unranked := candidates[index].AffinityRank == maxAffinityRank
 			if unranked && (best < 0 || candidates[index].Affinity > candidates[best].Affinity) {
 				best = index
 			}
--- a/internal/routing/score_affinity.go
+++ b/internal/routing/score_affinity.go
@@ -4,8 +4,8 @@
 // prefill: the copy displaces another prefix from the cache.
 const extraCopyCost = 0.1
 
-// maximumRank bounds the affinity rank. Candidates beyond it are not distinguished.
-const maximumRank = 4
+// maxAffinityRank bounds the affinity rank. Candidates beyond it are not distinguished.
+const maxAffinityRank = 4
 
 // AffinityScorer charges for starting a new copy of a prefix away from its first
 // endpoints in rendezvous order. It makes nodes that decide concurrently, without
@@ -22,7 +22,7 @@
 		return 0
 	}
 	missing := 1 - float64(candidate.HitBlocks)/float64(request.Blocks)
-	rank := float64(min(candidate.AffinityRank, maximumRank))
+	rank := float64(min(candidate.AffinityRank, maxAffinityRank))
 	prefill := float64(request.PromptTokens) / request.PrefillTokensPerSecond
 	return request.WorkWeight * extraCopyCost * missing * rank * prefill
 }
--- a/internal/routing/score_copy.go
+++ b/internal/routing/score_copy.go
@@ -15,6 +15,6 @@
 	recompute := request.Blocks - max(candidate.HitBlocks, candidate.ImportBlocks)
 	imported := candidate.ImportBlocks - candidate.HitBlocks
 	missing := prefillSeconds(request, candidate, max(0, recompute)*request.BlockTokens, max(0, imported)*request.BlockTokens)
-	rank := float64(min(candidate.AffinityRank, maximumRank))
+	rank := float64(min(candidate.AffinityRank, maxAffinityRank))
 	return request.WorkWeight * rank * missing
 }
--- a/internal/routing/score_test.go
+++ b/internal/routing/score_test.go
@@ -15,12 +15,12 @@
 func TestCopyScorerChargesMissingBlocks(t *testing.T) {
 	first := &Candidate{AffinityRank: 0}
 	second := &Candidate{AffinityRank: 1}
-	kept := &Candidate{AffinityRank: 1, ImportBlocks: 8_000}
+	importable := &Candidate{AffinityRank: 1, ImportBlocks: 8_000}
 	holder := &Candidate{AffinityRank: 1, HitBlocks: 8_000, ImportBlocks: 8_000}
 	scorer := CopyScorer{}
 	require.Zero(t, scorer.Score(longPrompt, first))
 	require.InDelta(t, 0.8, scorer.Score(longPrompt, second), 1e-9, "the blocks must be computed")
-	require.InDelta(t, 0.2, scorer.Score(longPrompt, kept), 1e-9, "the blocks can be imported")
+	require.InDelta(t, 0.2, scorer.Score(longPrompt, importable), 1e-9, "the blocks can be imported")
 	require.Zero(t, scorer.Score(longPrompt, holder))
 }
 
@@ -31,7 +31,7 @@
 	require.InDelta(t, 2*distanceCost+0.12, scorer.Score(longPrompt, &Candidate{Distance: 2}), 1e-9)
 }
 
-func TestFailureAndConcurrencyScorers(t *testing.T) {
+func TestFailureAndConcurrencyCostsAreProportional(t *testing.T) {
 	require.InDelta(t, 0.25, FailureScorer{}.Score(longPrompt, &Candidate{FailureRate: 0.25}), 1e-9)
 	require.InDelta(t, 0.03, ConcurrencyScorer{}.Score(longPrompt, &Candidate{Running: 3}), 1e-9)
 }
@@ -46,7 +46,7 @@
 	require.Equal(t, 0, scheduler.Schedule(&request, candidates).Index, "the loss of 0.4 s is less than the wait of 0.425 s")
 }
 
-func TestDecisionReportsRunnerUpAndTerms(t *testing.T) {
+func TestDecisionReportsNextCheapestAndTerms(t *testing.T) {
 	candidates := []Candidate{
 		{Endpoint: "dear", Ready: true, Distance: 2}, {Endpoint: "best", Ready: true},
 		{Endpoint: "next", Ready: true, Distance: 1}, {Endpoint: "refused"},
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -122,29 +122,29 @@
 	return walk.diagnostics
 }
 
-func (walk *walker) checkNode(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkNode(path string, node ast.Node, goType reflect.Type) {
 	if _, found := walk.lines[path]; !found {
 		walk.lines[path] = node.GetToken().Position.Line
 	}
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+	for goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
 	switch {
 	case node.Type() == ast.NullType:
-	case kind.Kind() == reflect.Struct && !hasCustomDecoder(kind):
-		walk.checkMapping(path, node, kind)
-	case kind.Kind() == reflect.Slice:
-		walk.checkSequence(path, node, kind)
+	case goType.Kind() == reflect.Struct && !hasCustomDecoder(goType):
+		walk.checkMapping(path, node, goType)
+	case goType.Kind() == reflect.Slice:
+		walk.checkSequence(path, node, goType)
 	default:
-		walk.checkScalar(path, node, kind)
+		walk.checkScalar(path, node, goType)
 	}
 }
 
-func hasCustomDecoder(kind reflect.Type) bool {
-	return reflect.PointerTo(kind).Implements(reflect.TypeFor[yaml.BytesUnmarshaler]())
+func hasCustomDecoder(goType reflect.Type) bool {
+	return reflect.PointerTo(goType).Implements(reflect.TypeFor[yaml.BytesUnmarshaler]())
 }
 
-func (walk *walker) checkMapping(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkMapping(path string, node ast.Node, goType reflect.Type) {
 	entries, ok := node.(ast.MapNode)
 	if !ok {
 		walk.report(path, "is not a mapping", "write it as key: value lines")
@@ -152,10 +152,10 @@
 	}
 	fields := map[string]reflect.Type{}
 	names := []string{}
-	for index := range kind.NumField() {
-		name := fieldName(kind.Field(index))
+	for index := range goType.NumField() {
+		name := fieldName(goType.Field(index))
 		if name != "" {
-			fields[name] = kind.Field(index).Type
+			fields[name] = goType.Field(index).Type
 			names = append(names, name)
 		}
 	}
@@ -177,30 +177,30 @@
 	}
 }
 
-func (walk *walker) checkSequence(path string, node ast.Node, kind reflect.Type) {
+func (walk *walker) checkSequence(path string, node ast.Node, goType reflect.Type) {
 	items, ok := node.(*ast.SequenceNode)
 	if !ok {
 		walk.report(path, "is not a list", "write it as a list of - items")
 		return
 	}
 	for index, item := range items.Values {
-		walk.checkNode(fmt.Sprintf("%s[%d]", path, index), item, kind.Elem())
+		walk.checkNode(fmt.Sprintf("%s[%d]", path, index), item, goType.Elem())
 	}
 }
 
-func (walk *walker) checkScalar(path string, node ast.Node, kind reflect.Type) {
-	value := reflect.New(kind)
+func (walk *walker) checkScalar(path string, node ast.Node, goType reflect.Type) {
+	value := reflect.New(goType)
 	if err := yaml.NodeToValue(node, value.Interface()); err != nil {
-		walk.report(path, fmt.Sprintf("%q is not a %s", node.GetToken().Value, typeName(kind)), "write "+typeExample(kind))
+		walk.report(path, fmt.Sprintf("%q is not a %s", node.GetToken().Value, typeName(goType)), "write "+typeExample(goType))
 	}
 }
 
-func typeName(kind reflect.Type) string {
-	switch kind.Kind() {
+func typeName(goType reflect.Type) string {
+	switch goType.Kind() {
 	case reflect.Bool:
 		return "boolean"
 	case reflect.Int, reflect.Int64, reflect.Uint64:
-		if kind.Name() == "Duration" {
+		if goType.Name() == "Duration" {
 			return "duration"
 		}
 		return "whole number"
@@ -211,8 +211,8 @@
 	}
 }
 
-func typeExample(kind reflect.Type) string {
-	switch typeName(kind) {
+func typeExample(goType reflect.Type) string {
+	switch typeName(goType) {
 	case "boolean":
 		return "true or false"
 	case "duration":
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -13,20 +13,20 @@
 	requests           *prometheus.CounterVec
 	attempts           *prometheus.CounterVec
 	firstResponse      *prometheus.HistogramVec
-	reads              *prometheus.CounterVec
+	storeReads         *prometheus.CounterVec
 	orders             *prometheus.CounterVec
 	connections        *prometheus.CounterVec
 	replacedPlacements prometheus.Counter
 	rateLimited        prometheus.Counter
-	overLimits         *prometheus.CounterVec
+	overServerLimits   *prometheus.CounterVec
 	deferred           prometheus.Counter
-	conflicts          prometheus.Counter
+	placementConflicts prometheus.Counter
 	quarantined        prometheus.Counter
 	suspicions         *prometheus.CounterVec
-	cleared            prometheus.Counter
+	clearedSuspicions  prometheus.Counter
 	notices            *prometheus.CounterVec
 	storeRestores      prometheus.Counter
-	unreadable         *prometheus.CounterVec
+	unreadableEntries  *prometheus.CounterVec
 	malformedUpdates   prometheus.Counter
 	upstreamChanges    prometheus.Counter
 	storeCalls         *prometheus.CounterVec
@@ -62,7 +62,7 @@
 		firstResponse: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "cloverrail_proxy_first_answer_seconds", Help: "Time to the head of the answer.", Buckets: firstResponseBuckets,
 		}, []string{"route"}),
-		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
+		storeReads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_store_reads_total", Help: "Readings of the shared store by result.",
 		}, []string{"result"}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -77,13 +77,13 @@
 		rateLimited: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_limited_total", Help: "Requests refused since their tenant asks for more than its limit.",
 		}),
-		overLimits: prometheus.NewCounterVec(prometheus.CounterOpts{
+		overServerLimits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_over_limits_total", Help: "Requests that met the limits of all servers of their service.",
 		}, []string{"service"}),
 		deferred: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_deferred_total", Help: "Placements of requests that will be late and let others go first.",
 		}),
-		conflicts: prometheus.NewCounter(prometheus.CounterOpts{
+		placementConflicts: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_placement_conflicts_total", Help: "Choices of servers that did not stand since other requests were placed there first.",
 		}),
 		quarantined: prometheus.NewCounter(prometheus.CounterOpts{
@@ -92,13 +92,13 @@
 		suspicions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_suspicions_total", Help: "Connections that servers closed before their whole answer, by whether the server had ended.",
 		}, []string{"outcome"}),
-		cleared: prometheus.NewCounter(prometheus.CounterOpts{
+		clearedSuspicions: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_cleared_total", Help: "Whole answers that cleared a request under which servers had ended.",
 		}),
 		notices: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_server_notices_total", Help: "Answers in which servers say that they leave, ask for rest, name a limit, or say what is not known or cannot be read.",
 		}, []string{"notice"}),
-		unreadable: prometheus.NewCounterVec(prometheus.CounterOpts{
+		unreadableEntries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cloverrail_proxy_unreadable_entries_total", Help: "Entries of the shared store that are skipped, by reason.",
 		}, []string{"reason"}),
 		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{
@@ -134,7 +134,7 @@
 		}
 		return -1
 	})
-	metrics.Registry.MustRegister(metrics.requests, metrics.attempts, metrics.firstResponse, metrics.reads,
-		metrics.orders, metrics.connections, metrics.replacedPlacements, metrics.rateLimited, metrics.overLimits, metrics.deferred, metrics.conflicts, metrics.quarantined, metrics.suspicions, metrics.cleared, metrics.notices, metrics.storeRestores, metrics.unreadable, metrics.malformedUpdates, metrics.upstreamChanges, metrics.storeCalls, metrics.serverCalls, metrics.peerResponseBytes, metrics.declarationVersion, metrics.suppressedLines, age)
+	metrics.Registry.MustRegister(metrics.requests, metrics.attempts, metrics.firstResponse, metrics.storeReads,
+		metrics.orders, metrics.connections, metrics.replacedPlacements, metrics.rateLimited, metrics.overServerLimits, metrics.deferred, metrics.placementConflicts, metrics.quarantined, metrics.suspicions, metrics.clearedSuspicions, metrics.notices, metrics.storeRestores, metrics.unreadableEntries, metrics.malformedUpdates, metrics.upstreamChanges, metrics.storeCalls, metrics.serverCalls, metrics.peerResponseBytes, metrics.declarationVersion, metrics.suppressedLines, age)
 	return metrics
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -92,7 +92,7 @@
 		line.Int("passed_over", choice.OverLimit)
 	}
 	if choice.Rounds > 1 {
-		recorder.metrics.conflicts.Add(float64(choice.Rounds - 1))
+		recorder.metrics.placementConflicts.Add(float64(choice.Rounds - 1))
 		line.Int("looks", choice.Rounds)
 	}
 	if choice.LastResort {
@@ -116,7 +116,7 @@
 
 // OverLimits records a request that no server accepts because of their advertised rate limits.
 func (recorder *Recorder) OverLimits(request *proxy.Request, over proxy.OverLimits) {
-	recorder.metrics.overLimits.WithLabelValues(over.Service).Inc()
+	recorder.metrics.overServerLimits.WithLabelValues(over.Service).Inc()
 	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Str("service", over.Service).Int("servers", over.Servers).
 		Dur("shortest", over.Shortest).Dur("retry_after", over.RetryAfter).Msg("over the limits of servers")
 }
@@ -131,7 +131,7 @@
 // SuspicionResolved records whether a server crashed while running a request.
 func (recorder *Recorder) SuspicionResolved(suspicion proxy.Suspicion) {
 	outcome := "lives"
-	if suspicion.Ended {
+	if suspicion.Terminated {
 		outcome = "ended"
 	}
 	recorder.metrics.suspicions.WithLabelValues(outcome).Inc()
@@ -141,13 +141,14 @@
 
 // SuspicionCleared records that a suspected request got a complete response.
 func (recorder *Recorder) SuspicionCleared(request *proxy.Request, fingerprint quarantine.Fingerprint) {
-	recorder.metrics.cleared.Inc()
+	recorder.metrics.clearedSuspicions.Inc()
 	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Msg("cleared")
 }
 
-// QuarantinePersisted records a write of a request's quarantine state to the shared store.
-func (recorder *Recorder) QuarantinePersisted(fingerprint quarantine.Fingerprint, held bool, err error) {
-	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("quarantine state written to the store")
+// QuarantinePersisted records a write of a request's quarantine state to the shared store, which
+// failed if err is set.
+func (recorder *Recorder) QuarantinePersisted(fingerprint quarantine.Fingerprint, quarantined bool, err error) {
+	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", quarantined).Err(err).Msg("quarantine state written to the store")
 }
 
 // NoticeReceived records the server state reported in response headers: all of it, what has
@@ -164,7 +165,7 @@
 		recorder.limitedLine(zerolog.InfoLevel).Str("server", server).Msg("server is draining")
 	}
 	if notice.UnknownHeader != "" {
-		recorder.unknownHeader(server, notice.UnknownHeader)
+		recorder.recordUnknownHeader(server, notice.UnknownHeader)
 	}
 	if notice.HasRateLimit {
 		recorder.metrics.notices.WithLabelValues("limit").Inc()
@@ -178,8 +179,8 @@
 // maxUnknownHeaders bounds the unknown server headers that are logged, once each.
 const maxUnknownHeaders = 32
 
-// unknownHeader counts an unknown server header, and logs it the first time.
-func (recorder *Recorder) unknownHeader(server, header string) {
+// recordUnknownHeader counts an unknown server header, and logs it the first time.
+func (recorder *Recorder) recordUnknownHeader(server, header string) {
 	recorder.metrics.notices.WithLabelValues("unknown").Inc()
 	recorder.mutex.Lock()
 	logged := recorder.unknownHeaders[header] || len(recorder.unknownHeaders) >= maxUnknownHeaders
@@ -303,7 +304,7 @@
 	if err != nil {
 		result = "failed"
 	}
-	recorder.metrics.reads.WithLabelValues(result).Inc()
+	recorder.metrics.storeReads.WithLabelValues(result).Inc()
 	recorder.mutex.Lock()
 	changed := recorder.storeFailing != (err != nil)
 	recorder.storeFailing = err != nil
@@ -322,9 +323,9 @@
 }
 
 // UpstreamChanged records which node this one polls, and why it left the previous one.
-func (recorder *Recorder) UpstreamChanged(node string, left error) {
+func (recorder *Recorder) UpstreamChanged(node string, reason error) {
 	recorder.metrics.upstreamChanges.Inc()
-	recorder.log.Info().Str("asks", node).AnErr("left", left).Msg("upstream node changed")
+	recorder.log.Info().Str("asks", node).AnErr("left", reason).Msg("upstream node changed")
 }
 
 // ConfigurationChanged records a change of the node's replica of the declaration.
@@ -333,8 +334,8 @@
 		recorder.metrics.declarationVersion.Set(float64(after.Snapshot.Version))
 		recorder.log.Info().Int64("declaration", after.Snapshot.Version).Msg("declaration is in force")
 	}
-	for model, namings := range after.Weights {
-		newest := namings.Newest()
+	for model, releases := range after.Weights {
+		newest := releases.Newest()
 		if before == nil || before.Weights[model].Newest() != newest {
 			recorder.log.Info().Str("model", model).Int64("version", newest).Msg("new weights version released")
 		}
@@ -390,8 +391,8 @@
 }
 
 // Acquired records that this node has become the rollout leader.
-func (recorder *Recorder) Acquired(fence int64, settled time.Duration) {
-	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settled).Msg("acquired rollout leadership")
+func (recorder *Recorder) Acquired(fence int64, settlesIn time.Duration) {
+	recorder.log.Info().Int64("fence", fence).Dur("settles_in", settlesIn).Msg("acquired rollout leadership")
 }
 
 // Released records that this node is no longer the rollout leader.
@@ -452,7 +453,7 @@
 
 // EntryUnreadable records a store entry that was skipped.
 func (recorder *Recorder) EntryUnreadable(key string, at coordination.Position, err error) {
-	recorder.metrics.unreadable.WithLabelValues(metricReason(err)).Inc()
+	recorder.metrics.unreadableEntries.WithLabelValues(metricReason(err)).Inc()
 	recorder.limitedLine(zerolog.WarnLevel).Str("key", key).Int64("era", at.Era).Int64("revision", at.Revision).Err(err).Msg("skipped an unreadable store entry")
 }
 
--- a/internal/workshare/aggregator_test.go
+++ b/internal/workshare/aggregator_test.go
@@ -49,7 +49,7 @@
 				n.work = append(n.work, backend.Work{Server: server, Running: rapid.IntRange(0, 9).Draw(t, "running")})
 			}
 			for tenant := range rapid.Uint64Range(0, 5).Draw(t, "tenants") {
-				n.usages = append(n.usages, quota.Usage{Tenant: tenant, Requested: float64(rapid.IntRange(0, 9).Draw(t, "asked"))})
+				n.usages = append(n.usages, quota.Usage{Key: tenant, Requested: float64(rapid.IntRange(0, 9).Draw(t, "asked"))})
 			}
 			expected.add(n.aggregator.Own())
 		}
