--- a/internal/backend/candidates.go
+++ b/internal/backend/candidates.go
@@ -24,7 +24,9 @@
 	Limit     int
 }
 
-// Candidates appends the eligible servers of a service as routing candidates.
+// Candidates appends the servers of a service as routing candidates. It omits servers that are
+// known to be replaced, and unlisted ones unless no listed server is left; of the unlisted ones,
+// it always omits those that are draining.
 func (set *Set) Candidates(candidates []routing.Candidate, query Query, now time.Time) []routing.Candidate {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -48,8 +50,8 @@
 	return candidates
 }
 
-// running returns the number of attempts in flight without the deferred ones, which do not delay
-// others.
+// running returns the number of attempts in flight, without the deferred ones that have not
+// started, since these do not delay others.
 func (local *localState) running() int { return local.inFlight - local.deferred }
 
 // fillCandidate sets the fields of a candidate that depend on the state of the server, and
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -5,7 +5,7 @@
 // Notice holds the signals that a server attaches to a response as headers. The zero value has
 // none.
 type Notice struct {
-	// Leaving reports that the server is shutting down and wants no new requests.
+	// Draining reports that the server is shutting down and wants no new requests.
 	Leaving bool
 	// RetryAfter is how long the server wants no requests from this node.
 	RetryAfter time.Duration
@@ -23,7 +23,7 @@
 // HasSignals reports whether the notice contains any signal.
 func (n Notice) HasSignals() bool { return n != Notice{} && n != Notice{Authoritative: true} }
 
-// Notice applies the signals of a server and returns those that are new.
+// ApplyNotice applies the signals of a server and returns those that are new.
 //
 // They take effect at once, ahead of the server list: the list is only as recent as the last
 // response of the shared store, and may present a server as ready while the store is down.
@@ -126,7 +126,8 @@
 	return e != nil && (e.isDraining() || e.local().backoff.remaining(now) > 0)
 }
 
-// Resting returns the servers that have asked this node for a backoff, with its end.
+// ServersInBackoff returns the servers that have asked this node for a backoff that has not
+// ended, with its end.
 func (set *Set) Resting(now time.Time) map[string]time.Time {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -159,7 +160,7 @@
 const maxDraining = 2 * 8192
 
 // drainingSet is a bounded set of draining incarnations. It outlives the entries of the servers,
-// which may lapse and be written again while the servers shut down.
+// which may expire and be written again while the servers shut down.
 type drainingSet struct {
 	recent, previous map[uint64]bool
 }
--- a/internal/backend/packed.go
+++ b/internal/backend/packed.go
@@ -24,7 +24,7 @@
 	Born []int64
 }
 
-// errInconsistentList is returned by Unpack for a malformed list.
+// errMalformedList is returned by Unpack for a malformed list.
 var errInconsistentList = errors.New("malformed server list from another node: run the same version on all nodes")
 
 // Pack encodes a list.
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -21,8 +21,8 @@
 	// last resort. The list loses entries while the store is down.
 	unlistedRetention = 15 * time.Second
 	// replacedRetention is how long a server is excluded after another incarnation answered at its
-	// address. By then its entry has lapsed from the list; if it is still listed, the answer was
-	// wrong.
+	// address. By then its entry has expired; if it is still listed, the answer was wrong and the
+	// server becomes eligible again.
 	replacedRetention = 10 * time.Second
 )
 
@@ -89,7 +89,7 @@
 // memory of an entry and is allocated only for the few servers that the node contacts.
 type localState struct {
 	// replacedUntil is until when the server is excluded because another incarnation answered at
-	// its address.
+	// its address or took over its instance ID; zero if neither has happened.
 	replacedUntil time.Time
 	inFlight      int
 	// deferred counts the attempts in flight that yield to all others and have not started.
@@ -172,6 +172,7 @@
 				continue
 			}
 			changes = append(changes, set.markUnlisted(previous, now)...)
+			// The former incarnation stays excluded until its unlisted entry is removed.
 			set.ensureLocalState(previous).replacedUntil = now.Add(unlistedRetention + replacedRetention)
 		}
 		if !found {
@@ -328,9 +329,9 @@
 	return e != nil && e.listed
 }
 
-// Ended reports whether there is evidence that a server has terminated since a given time: a
-// connection to it failed to establish, another incarnation answered at its address, or it was
-// removed from the list.
+// TerminatedSince reports whether there is evidence that a server has terminated: it is not in
+// the list, another incarnation answered at its address, or a connection to it failed to
+// establish after the given time.
 func (set *Set) Ended(key uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -342,8 +343,8 @@
 	return !local.replacedUntil.IsZero() || local.lastConnectFailureAt.After(since)
 }
 
-// Gone records that another incarnation answered at the address of a server. The list still
-// includes the server until its entry lapses.
+// MarkReplaced records that another incarnation answered at the address of a server. The server
+// is excluded for replacedRetention, since the list includes it until its entry expires.
 func (set *Set) Gone(instance string, now time.Time) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
--- a/internal/backend/work.go
+++ b/internal/backend/work.go
@@ -71,13 +71,13 @@
 	return all
 }
 
-// Use is the load on one server, over all nodes as far as known to this node.
+// Use is the work in flight on one server from all nodes, as far as known to this node.
 type Use struct {
 	Running      int
 	QueuedTokens int
 }
 
-// Less reports whether u is less load than other: fewer running attempts, or with equal numbers
+// Less reports whether u is less work than other: fewer running attempts, or with equal numbers
 // fewer queued tokens.
 func (u Use) Less(other Use) bool {
 	if u.Running != other.Running {
@@ -86,7 +86,7 @@
 	return u.QueuedTokens < other.QueuedTokens
 }
 
-// Uses returns the load on all servers, by incarnation name.
+// Uses returns the work in flight on all servers, by incarnation name.
 func (set *Set) Uses(now time.Time) map[string]Use {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
