--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -32,8 +32,8 @@
 
 // Recorder receives the results of writes. Its methods must not block.
 type Recorder interface {
-	// QuarantinePersisted records that the quarantine of a request was written to the store or
-	// removed from it, or failed to be.
+	// QuarantinePersisted records an attempt to write the quarantine of a request to the store, or
+	// to remove it if quarantined is false; err is nil if it succeeded.
 	QuarantinePersisted(f Fingerprint, held bool, err error)
 }
 
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -33,7 +33,7 @@
 	resolve func()
 }
 
-// serverSlot is the location of a server. Another server starts there some time after a crash.
+// serverSlot is the place of a server. Another server starts there at upAt after a crash.
 type serverSlot struct {
 	server uint64
 	upAt   time.Time
@@ -44,7 +44,7 @@
 	f Fingerprint
 	// duration is the response time, or for a culprit the time until the server crashes.
 	duration time.Duration
-	// at is the slot where the request runs until doneAt, or -1 while the client waits until then.
+	// slot is where the request runs until doneAt, or -1 while the client waits until then.
 	at       int
 	doneAt   time.Time
 	crashes  []time.Time
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Unconfirmed reports whether a crash of a server at a given time is not certain.
+// Unconfirmed reports whether a crash of a server at a given time is not certain yet, or has
+// been refuted by an answer of the server.
 type Unconfirmed func(server uint64, at time.Time) bool
 
 // Verdict is the decision whether a request is quarantined.
