--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -38,10 +38,10 @@
 // Send sends the request to the server.
 //
 // It returns ErrWithdrawn without sending if another response has meanwhile
-// announced that the server is leaving or needs to back off.
+// announced that the server is draining or wants no requests for some time.
 func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*exchange.Reply, error) {
 	if placement.placer.proxy.set.RejectsTraffic(placement.chosen.Endpoint, boottime.Now()) {
-		return nil, &exchange.ErrWithdrawn{Reason: "the server announced that it is leaving or backing off after it was chosen"}
+		return nil, &exchange.ErrWithdrawn{Reason: "the server announced after it was chosen that it is draining or wants no requests for now"}
 	}
 	admitted := placement.placer.admitted
 	dispatch := Dispatch{
@@ -184,7 +184,8 @@
 }
 
 // implicatesRequest reports whether a connection closed by the server makes the request a
-// suspect. It does not if the server was leaving or if this machine was suspended meanwhile.
+// suspect. It does not if the server was draining or no longer listed, or if this machine was
+// suspended meanwhile.
 func (placement *placement) implicatesRequest() bool {
 	return boottime.Suspended() == placement.suspendedAtPlacement && placement.placer.proxy.set.InService(placement.chosen.Endpoint)
 }
--- a/internal/proxy/placer.go
+++ b/internal/proxy/placer.go
@@ -45,7 +45,7 @@
 	answerValueFactor = 4
 )
 
-// exchange returns the exchange.Request for an admitted request.
+// exchangeRequest returns the exchange.Request for an admitted request.
 func (proxy *Proxy) exchange(admitted *admitted, caller exchange.Caller) exchange.Request {
 	route := admitted.route
 	return exchange.Request{
@@ -96,8 +96,8 @@
 	pieces map[int64][]residency.Piece
 	// storedTokens caches how many shared tokens the KV cache store holds, by version.
 	storedTokens map[int64]int
-	// retryAt is when the caller was told to retry because all servers were at their
-	// request limits; zero if that has not happened.
+	// retryAt is when the caller is told to retry because all servers were at their request
+	// limits; zero if that has not happened.
 	retryAt time.Time
 	// excluded lists the servers that were already tried.
 	excluded []string
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -26,7 +26,7 @@
 	Window time.Duration
 }
 
-// Retries holds this node's share of the retry budget of each service. Nodes do not
+// RetryBudgets holds this node's share of the retry budget of each service. Nodes do not
 // coordinate: each earns retries from its own requests. It saves at most its share of
 // Extra, but at least one retry, plus savedShare of its recent earnings.
 type Retries struct {
@@ -40,7 +40,7 @@
 // assumedFleetSize is the fleet size that is assumed before the actual size is known.
 const assumedFleetSize = 1000
 
-// NewRetries returns budgets for a fleet of unknown size. They start without savings,
+// NewRetryBudgets returns budgets for a fleet of unknown size. They start without savings,
 // since a node that has just started does not know what the fleet has already spent.
 func NewRetries(bounds RetryBounds, now time.Time) *Retries {
 	return &Retries{bounds: bounds, started: now, nodes: assumedFleetSize, budgets: map[string]*retry.Budget{}}
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against the same prefix being computed on many servers of a large service, of which the
-// load needs only a few hundred. All prompts begin with one of a few system prompts (sheets),
+// load needs only a few hundred. All prompts begin with one of a few system prompts ("sheet-N"),
 // followed by one of hundreds of histories. Each system prompt must stay within one subset, and each
 // history on one server. The prefill of a system prompt of 2,500 tokens takes an engine 65 ms, and
 // each repetition costs users about a third of an answer.
@@ -60,7 +60,7 @@
 	}
 }
 
-// setRemoteWork reports the given load and number of suspecting nodes for each of the servers.
+// setPeerWork reports the given load and number of suspecting nodes for each of the servers.
 func (p *placer) setRemoteWork(servers []string, running, suspects int) {
 	var work []backend.Work
 	for _, server := range servers {
