--- a/internal/routing/annotate.go
+++ b/internal/routing/annotate.go
@@ -20,8 +20,8 @@
 }
 
 // Annotate fills in the candidates' cache hits from the index and their rendezvous
-// weights for the key. Index entries of other incarnations are ignored. Store is the
-// endpoint of the KV cache store, whose blocks every candidate can import; "" means none.
+// weights for the key. Index entries of other incarnations are ignored. store is the
+// endpoint of the KV cache store, whose blocks every candidate can import; "" if there is none.
 func (scheduler *Scheduler) Annotate(candidates []Candidate, key prefix.Hash, depths []prefixindex.Depth, store string) {
 	clear(scheduler.heldBlocks)
 	for _, depth := range depths {
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -9,14 +9,19 @@
 	Endpoint string
 	Address  string
 	Zone     string
-	Pool     string
-	Epoch    string
+	// Pool is the pool of an engine, or the name of a plain or proxied service.
+	Pool string
+	// Epoch identifies the endpoint's process: the epoch that its status reports, or the instance
+	// ID of a server of a proxied service.
+	Epoch string
 	// Version is the loaded version of the model, if versions are numeric.
 	Version int64
 	// Ready is set if the model is loaded at a version that may serve.
 	Ready bool
 	// Loading is set while the endpoint loads weights.
 	Loading bool
+	// Draining is set if the endpoint is shutting down or was drained by an operator, and Down if it
+	// is unreachable.
 	Leaving bool
 	Down    bool
 	// BreakerOpen is set if the circuit breaker rejects requests after failed attempts, and
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -3,7 +3,8 @@
 // Reason is why an endpoint is rejected.
 type Reason string
 
-// The rejection reasons.
+// The rejection reasons. Their values appear in logs and error messages and must not change, so
+// some differ from the names of the constants.
 const (
 	Accepted          Reason = ""
 	ReasonExcluded    Reason = "excluded"
--- a/internal/routing/scheduler.go
+++ b/internal/routing/scheduler.go
@@ -9,7 +9,8 @@
 // Scorer computes one term of the cost of serving a request on a candidate, in seconds
 // of engine time.
 type Scorer interface {
-	// Name returns the name of the term.
+	// Name returns the name of the term in logs, which must not change. Those of some scorers
+	// therefore differ from their types.
 	Name() string
 	Score(request *Request, candidate *Candidate) float64
 }
@@ -107,7 +108,7 @@
 }
 
 // assignAffinityRanks ranks the candidates with the highest affinities; all others get
-// maximumRank. It takes linear time.
+// maxAffinityRank. It takes linear time.
 func assignAffinityRanks(candidates []Candidate, accepted []int) {
 	for _, index := range accepted {
 		candidates[index].AffinityRank = maximumRank
--- a/internal/routing/score_affinity.go
+++ b/internal/routing/score_affinity.go
@@ -4,7 +4,7 @@
 // prefill: the copy displaces another prefix from the cache.
 const extraCopyCost = 0.1
 
-// maximumRank bounds the affinity rank. Candidates beyond it are not distinguished.
+// maxAffinityRank bounds the affinity rank. Candidates beyond it are not distinguished.
 const maximumRank = 4
 
 // AffinityScorer charges for starting a new copy of a prefix away from its first
