--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -15,7 +15,7 @@
 	Body   []byte
 }
 
-// Reply is the beginning of a server's response. Either Whole is set, or the response is
+// Reply is the beginning of a server's response. Either Complete is set, or the response is
 // a stream whose events Next returns until io.EOF.
 type Reply struct {
 	Status int
