--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -92,7 +92,7 @@
 	require.LessOrEqual(t, granted, nodes+int(limit.PerSecond*10))
 }
 
-// p99Wait simulates tenants' arrivals at the rate limit and the fair queue of a pool in
+// p99Latency simulates tenants' arrivals at the rate limit and the fair queue of a pool in
 // virtual time, where the first tenant sends factor times its rate. It returns the 99th
 // percentile of the other tenants' latencies.
 func p99Wait(factor float64) time.Duration {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -17,20 +17,24 @@
 	Priority int
 	// Cost is in seconds of engine time.
 	Cost float64
-	// Until is when the request times out.
+	// Until is when the request stops waiting for a slot.
 	Until time.Time
 
+	// finish is the virtual time at which the request would be complete, arrival its number
+	// in order of arrival, and index its position in the heap.
 	finish  float64
 	arrival uint64
 	index   int
 }
 
 // Queue orders waiting requests by priority, highest first, and within one priority by
-// start-time fair queueing over the tenants' weights, so that a tenant that sends ten
+// self-clocked fair queueing over the tenants' weights, so that a tenant that sends ten
 // times its share waits behind its own requests.
 type Queue struct {
-	tickets     ticketHeap
-	byID        map[uint64]*Ticket
+	tickets ticketHeap
+	byID    map[uint64]*Ticket
+	// virtualTime is the finish of the last request served at each priority, and finishTimes
+	// the finish of the last request of each flow, both as cost divided by weight.
 	virtualTime map[int]float64
 	finishTimes map[flowKey]float64
 	arrivals    uint64
--- a/internal/admission/tokens.go
+++ b/internal/admission/tokens.go
@@ -47,9 +47,11 @@
 // TokenLease holds the tokens of one tenant that were issued to a node. They expire
 // after leaseTTL.
 type TokenLease struct {
-	tokens     int
-	expires    time.Time
-	fallback   *rate.Limiter
+	tokens  int
+	expires time.Time
+	// fallback limits SpendFallback; nil until its first call.
+	fallback *rate.Limiter
+	// usageRate is the moving average of the calls of Spend per second.
 	usageRate  float64
 	lastUsedAt time.Time
 }
@@ -79,7 +81,7 @@
 	return true
 }
 
-// RequestSize returns how many tokens to request from the issuer.
+// RequestSize returns how many tokens to request from the issuer, at least one.
 func (lease *TokenLease) RequestSize() int {
 	return max(1, int(lease.usageRate*leaseSeconds))
 }
