--- a/internal/quarantine/persister.go
+++ b/internal/quarantine/persister.go
@@ -33,7 +33,7 @@
 // Recorder receives the results of writes. Its methods must not block.
 type Recorder interface {
 	// QuarantinePersisted records an attempt to write the quarantine of a request to the store, or
-	// to remove it if quarantined is false; err is nil if it succeeded.
+	// to remove it if held is false; err is nil if it succeeded.
 	QuarantinePersisted(f Fingerprint, held bool, err error)
 }
 
