--- a/internal/routing/scheduler.go
+++ b/internal/routing/scheduler.go
@@ -69,7 +69,7 @@
 	return decision
 }
 
-// runnerUp returns the cheapest accepted candidate other than the chosen one, or -1.
+// nextCheapest returns the cheapest accepted candidate other than the chosen one, or -1.
 func (scheduler *Scheduler) runnerUp(candidates []Candidate, chosen int) int {
 	position := slices.Index(scheduler.accepted, chosen)
 	if position < 0 {
