--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -5,7 +5,7 @@
 // Notice holds the signals that a server attaches to a response as headers. The zero value has
 // none.
 type Notice struct {
-	// Draining reports that the server is shutting down and wants no new requests.
+	// Leaving reports that the server is shutting down and wants no new requests.
 	Leaving bool
 	// RetryAfter is how long the server wants no requests from this node.
 	RetryAfter time.Duration
@@ -126,7 +126,7 @@
 	return e != nil && (e.isDraining() || e.local().backoff.remaining(now) > 0)
 }
 
-// ServersInBackoff returns the servers that have asked this node for a backoff that has not
+// Resting returns the servers that have asked this node for a backoff that has not
 // ended, with its end.
 func (set *Set) Resting(now time.Time) map[string]time.Time {
 	set.mutex.Lock()
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -329,9 +329,9 @@
 	return e != nil && e.listed
 }
 
-// TerminatedSince reports whether there is evidence that a server has terminated: it is not in
-// the list, another incarnation answered at its address, or a connection to it failed to
-// establish after the given time.
+// Terminated reports whether there is evidence that a server has terminated: it is not in the
+// list, another incarnation answered at its address, or a connection to it failed to establish
+// after the given time.
 func (set *Set) Ended(key uint64, since time.Time) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
