--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -64,7 +64,7 @@
 // observation is a fact about a request, observed at a given time.
 type observation struct {
 	at time.Time
-	// position is the place in the sequence of observations of this ledger, starting at 1.
+	// place is the position in the sequence of observations of this ledger, starting at 1.
 	place int64
 	// peer is the node that reported the observation, or empty if this node made it.
 	peer string
@@ -97,7 +97,7 @@
 	byServer map[uint64]map[Fingerprint]bool
 	// pending counts the unresolved suspicions of each request.
 	pending map[Fingerprint]int
-	// position is that of the latest observation, and expiredAt the time of the last scan for
+	// place is the position of the latest observation, and expiredAt the time of the last scan for
 	// expired ones.
 	place     int64
 	expiredAt time.Time
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -44,7 +44,7 @@
 	f Fingerprint
 	// duration is the response time, or for a culprit the time until the server crashes.
 	duration time.Duration
-	// slot is where the request runs until doneAt, or -1 while the client waits until then.
+	// at is the slot where the request runs until doneAt, or -1 while the client waits until then.
 	at       int
 	doneAt   time.Time
 	crashes  []time.Time
