--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -256,7 +256,7 @@
 	service  *catalog.Service
 	tenant   *catalog.Tenant
 	deadline time.Time
-	// cachedFingerprint caches the request's fingerprint; 0 if it has not been computed.
+	// print caches the request's fingerprint; 0 if it has not been computed.
 	print quarantine.Fingerprint
 }
 
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -26,7 +26,7 @@
 type Suspicion struct {
 	Fingerprint quarantine.Fingerprint
 	Server      string
-	// Crashed is false if the server has answered a request that was sent later, or if its response
+	// Terminated is false if the server has answered a request that was sent later, or if its response
 	// had not begun and there is no other evidence that it has terminated.
 	Ended bool
 	// After is the time from the broken connection to the resolution of the suspicion.
