--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -20,7 +20,7 @@
 	Ready bool
 	// Loading is set while the endpoint loads weights.
 	Loading bool
-	// Draining is set if the endpoint is shutting down or was drained by an operator, and Down if it
+	// Leaving is set if the endpoint is shutting down or was drained by an operator, and Down if it
 	// is unreachable.
 	Leaving bool
 	Down    bool
