--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -23,7 +23,7 @@
 // HasSignals reports whether the notice contains any signal.
 func (n Notice) HasSignals() bool { return n != Notice{} && n != Notice{Authoritative: true} }
 
-// ApplyNotice applies the signals of a server and returns those that are new.
+// Notice applies the signals of a server and returns those that are new.
 //
 // They take effect at once, ahead of the server list: the list is only as recent as the last
 // response of the shared store, and may present a server as ready while the store is down.
@@ -126,7 +126,7 @@
 	return e != nil && (e.isDraining() || e.local().backoff.remaining(now) > 0)
 }
 
-// Resting returns the servers that have asked this node for a backoff that has not
+// ServersInBackoff returns the servers that have asked this node for a backoff that has not
 // ended, with its end.
 func (set *Set) Resting(now time.Time) map[string]time.Time {
 	set.mutex.Lock()
