--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -343,7 +343,7 @@
 	return !local.replacedUntil.IsZero() || local.lastConnectFailureAt.After(since)
 }
 
-// MarkReplaced records that another incarnation answered at the address of a server. The server
+// Gone records that another incarnation answered at the address of a server. The server
 // is excluded for replacedRetention, since the list includes it until its entry expires.
 func (set *Set) Gone(instance string, now time.Time) {
 	set.mutex.Lock()
