--- a/internal/exchange/machine.go
+++ b/internal/exchange/machine.go
@@ -132,7 +132,7 @@
 	case Late:
 		return machine.retryOrFail(now, "the server did not start the request in time", true)
 	case Expired:
-		return machine.abandon(failure.KindDeadline, "the request's deadline has passed", "allow it more time, or send it again")
+		return machine.abandon(failure.KindDeadline, "the request's deadline has passed", "set a longer timeout, or send the request again")
 	case Stopping:
 		return machine.abandon(failure.KindStopping, "this node is shutting down", "send the request to another node")
 	case CallerLeft:
@@ -157,7 +157,7 @@
 		return []Action{Place{Excluded: machine.excluded, Delay: placementRetryDelay}}
 	}
 	machine.retryAfter = event.RetryAfter
-	return machine.fail(failure.KindNoEndpoint, "no server can accept the request: "+event.Reason, "send it again, or add servers")
+	return machine.fail(failure.KindNoEndpoint, "no server can accept the request: "+event.Reason, "send the request again, or add servers")
 }
 
 func (machine *Machine) answered(now time.Time, event Answered) []Action {
@@ -216,7 +216,7 @@
 	if machine.headSent {
 		kind = failure.KindStreamBroken
 	}
-	return append([]Action{Cancel{}}, machine.fail(kind, fmt.Sprintf("given up after %d attempts: %s", machine.sends, reason), "send it again")...)
+	return append([]Action{Cancel{}}, machine.fail(kind, fmt.Sprintf("given up after %d attempts: %s", machine.sends, reason), "send the request again")...)
 }
 
 // mayRetry reports whether one more attempt is permitted, and charges it to the budget
