--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -26,8 +26,8 @@
 type Suspicion struct {
 	Fingerprint quarantine.Fingerprint
 	Server      string
-	// Terminated is false if the server has answered a request that was sent later, or if its response
-	// had not begun and there is no other evidence that it has terminated.
+	// Terminated is false if the server has answered a request that was sent later, or if its
+	// response had not begun and there is no other evidence that it has terminated.
 	Ended bool
 	// After is the time from the broken connection to the resolution of the suspicion.
 	After time.Duration
