--- a/internal/reflector/reflector_test.go
+++ b/internal/reflector/reflector_test.go
@@ -53,7 +53,7 @@
 		age      time.Duration
 		disturbs bool
 	}{
-		"no recent state":           {failure.KindUnavailable, disruptionThreshold, bound, true},
+		"unsound":                   {failure.KindUnavailable, disruptionThreshold, bound, true},
 		"one failure":               {failure.KindUnavailable, disruptionThreshold - 1, bound, false},
 		"other nodes deliver state": {failure.KindUnavailable, 5 * disruptionThreshold, bound / 2, false},
 		"rate limited":              {failure.KindRateLimited, 5 * disruptionThreshold, bound, false},
