--- a/internal/reflector/feed.go
+++ b/internal/reflector/feed.go
@@ -17,26 +17,26 @@
 
 // Delta is the part of a node's state that the sender of a poll request lacks.
 type Delta struct {
-	// Feed identifies the responding process. Position is the cursor from which to continue
-	// in the list of servers, at any node. A position without an era comes from a build
-	// without eras.
+	// Feed identifies the responding process. Place is the cursor from which to continue in
+	// the list of servers, at any node: a position of the store. One without an era comes
+	// from a build without eras.
 	Feed  string
 	Place coordination.Position
-	// Full reports that Changed is the full list.
+	// Whole reports that Changed is the full list.
 	Whole   bool
 	Changed []backend.Server
 	Gone    []string
-	// Checksum is that of all servers at Position, or 0 if the responding node is behind it.
+	// Sum is the checksum of all servers at Place, or 0 if the responding node is behind it.
 	Sum uint64
 	// Loads is the state of the weight roll-out, or nil if it is not newer than the
 	// requesting node's.
 	Loads *backend.Loads
-	// Age is the age of the responding node's list of servers. ReplicaAge is the time since
+	// Age is the age of the responding node's list of servers. BeliefAge is the time since
 	// the call was sent that showed its declaration and weights to be current, and negative
 	// if there was none.
 	Age       time.Duration
 	BeliefAge time.Duration
-	// DisruptedAgo is the time since the store was last disrupted, and negative if it never
+	// DisturbedAgo is the time since the store was last disrupted, and negative if it never
 	// was.
 	DisturbedAgo time.Duration
 	// Declaration is nil if it is not newer than the requesting node's. Weights holds the
@@ -47,22 +47,22 @@
 	// the number of nodes, or 0 if it is not known.
 	Fleet *fleet.View
 	Nodes int
-	// LeaderEntries holds the leader-election entries, for other readers only.
+	// Duties holds the leader-election entries, for other readers only.
 	Duties []coordination.Entry
 	// Others is the work in progress and the quota usage of all nodes but the requesting one.
 	Others workshare.Report
-	// CacheUpdates holds changes of the cached pieces of prompts, in the encoding of the
+	// Kept holds changes of the cached pieces of prompts, in the encoding of the
 	// residency package, or nil if there are none.
 	Kept []byte
-	// Suspicions holds the suspicions that the requesting node lacks, and SuspicionsPosition
-	// the cursor from which to continue, or 0 if there is nothing new.
+	// Suspicions holds the suspicions that the requesting node lacks, and SuspicionsPlace the
+	// cursor from which to continue, or 0 if there is nothing new.
 	Suspicions      []quarantine.Item
 	SuspicionsPlace int64
 }
 
 // PollRequest requests what has changed at a node since the cursors that it carries.
 type PollRequest struct {
-	// Feed is that of the last response, and Position the sender's cursor in the list of
+	// Feed is that of the last response, and Place the sender's cursor in the list of
 	// servers. Wait is how long to keep the request open if nothing has changed.
 	Feed  string
 	Place coordination.Position
@@ -82,10 +82,10 @@
 	Reader bool
 	// Own is the sender's work in progress and quota usage.
 	Own workshare.Report
-	// CachePosition is the sender's cursor in the node's cache updates.
+	// Kept is the sender's cursor in the node's cache updates.
 	Kept residency.Place
 	// Suspicions holds the suspicions that the sender has not reported to this feed yet, and
-	// SuspicionsPosition is its cursor in the feed's suspicions.
+	// SuspicionsPlace is its cursor in the feed's suspicions.
 	Suspicions      []quarantine.Item
 	SuspicionsPlace int64
 }
--- a/internal/reflector/reflector.go
+++ b/internal/reflector/reflector.go
@@ -31,15 +31,15 @@
 type Observation struct {
 	// Declared holds what operators wrote: the declaration and the released weight versions.
 	Declared catalog.ReadResult
-	// Full reports that Servers is the full list. Otherwise Servers holds what has changed
+	// Whole reports that Servers is the full list. Otherwise Servers holds what has changed
 	// since the previous read, and Gone the instances that were removed since.
 	Whole   bool
 	Servers []backend.Server
 	Gone    []string
 	// At is the position of the store that the observation reflects.
 	At coordination.Position
-	// LeaderEntries holds the leader-election entries, and Nodes the node registrations,
-	// which is nil if they have not changed.
+	// Duties holds the leader-election entries, and Nodes the node registrations, which
+	// is nil if they have not changed.
 	Duties []coordination.Entry
 	Nodes  []coordination.Entry
 	// Quarantined holds the entries of quarantined requests.
@@ -129,7 +129,7 @@
 	// OnReport receives the work in progress and the quota usage of all other nodes. It
 	// must not block.
 	OnReport func(others workshare.Report, now time.Time)
-	// CacheUpdates receives other nodes' updates on cached pieces of prompts.
+	// Kept receives other nodes' updates on cached pieces of prompts.
 	Kept *residency.PeerReceiver
 	// Quarantine tracks which requests have crashed servers.
 	Quarantine *quarantine.Ledger
@@ -205,10 +205,10 @@
 // isFirstReader reports whether this node is the first reader.
 func (r *Reflector) isFirstReader() bool { return r.Registry.Bootstrapped() && r.Registry.Rank() == 0 }
 
-// IsReader reports whether this node knows its rank and is one of the readers.
+// Reads reports whether this node knows its rank and is one of the readers.
 func (r *Reflector) Reads() bool { return r.Registry.Bootstrapped() && r.Registry.IsReader() }
 
-// IsRelay reports whether this node knows its rank and is one of the relays. Readers are
+// Relays reports whether this node knows its rank and is one of the relays. Readers are
 // relays too.
 func (r *Reflector) Relays() bool { return r.Registry.Bootstrapped() && r.Registry.IsRelay() }
 
--- a/internal/reflector/serverlist.go
+++ b/internal/reflector/serverlist.go
@@ -17,7 +17,7 @@
 // serverUpdate is an update of the list of servers, from the store or another node: the full
 // list, or the changes since a position.
 type serverUpdate struct {
-	// full reports that changed holds all servers.
+	// whole reports that changed holds all servers.
 	whole   bool
 	changed []backend.Server
 	gone    []string
@@ -25,7 +25,7 @@
 	// that position was still current.
 	position coordination.Position
 	readAt   time.Time
-	// checksum is that of the full list at that position, or 0 if it is not known.
+	// sum is the checksum of the full list at that position, or 0 if it is not known.
 	sum uint64
 }
 
@@ -46,7 +46,7 @@
 	servers  map[string]*backend.Server
 	position coordination.Position
 	readAt   time.Time
-	// checksum is that of the servers. If an upstream has a different one at the same
+	// sum is the checksum of the servers. If an upstream has a different one at the same
 	// position, this node has missed changes: diverged is set, and it needs the full list.
 	sum      uint64
 	diverged bool
@@ -62,7 +62,7 @@
 	instance string
 }
 
-// emptyChecksum is the checksum of an empty list: 0 stands for an unknown checksum.
+// emptySum is the checksum of an empty list: 0 stands for an unknown checksum.
 const emptySum = 1
 
 func newServerList() *serverList {
@@ -122,8 +122,8 @@
 	return changed, gone
 }
 
-// checksumOf returns a server's part of the checksum: a number from its instance, its
-// creation revision, its draining state and its weight versions.
+// sumOf returns a server's part of the checksum: a number from its instance, its creation
+// revision, its draining state and its weight versions.
 func sumOf(server *backend.Server) uint64 {
 	sum := backend.ServerKey(server.Instance) + uint64(server.Created)
 	if server.Draining {
