--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -15,9 +15,9 @@
 const (
 	callTimeout = 500 * time.Millisecond
 	// renewalsPerTTL is the number of renewals per TTL while they are answered, and
-	// urgentRenewalsPerTTL that from the first unanswered one on: the leader then has several
-	// attempts before its lease expires, even if many responses are lost. Renewals do not wait
-	// for each other.
+	// urgentRenewalsPerTTL the number from the first unanswered one on: the leader then has
+	// several attempts before its lease expires, even if many responses are lost. Renewals do
+	// not wait for each other.
 	renewalsPerTTL       = 5
 	urgentRenewalsPerTTL = 10
 	// The leader stops acting TTL/marginDivisor before its lease can expire, to allow for
@@ -25,9 +25,9 @@
 	marginDivisor = 5
 	stepInterval  = 50 * time.Millisecond
 	// eligibilityInterval is the interval at which an ineligible node checks whether it has
-	// become eligible, which changes only with the fleet.
+	// become eligible. Eligibility changes only when the fleet does.
 	eligibilityInterval = 500 * time.Millisecond
-	// retryPause follows a failed attempt to become leader.
+	// retryDelay is the wait after a failed attempt to become leader.
 	retryPause = 300 * time.Millisecond
 	// lastLeaderHeadStart is how long other nodes wait for the last leader to campaign first.
 	lastLeaderHeadStart = 300 * time.Millisecond
@@ -45,7 +45,7 @@
 	Step() (state []byte, act func(ctx context.Context, tenure *Leadership))
 	// Idle reports whether a published state says that no work is in progress.
 	Idle(state []byte) bool
-	// OwnState reports whether this node published a state, also before a restart.
+	// OwnState reports whether a state was published by this node, before or after a restart.
 	OwnState(state []byte) bool
 	// LeadershipLost is called when the leadership has ended.
 	LeadershipLost()
@@ -65,18 +65,19 @@
 	Store    coordination.Store
 	Task     Task
 	Recorder Recorder
-	// Name is this node's. Key is the leader's key, and StateKey that of its published state.
+	// Name is this node's name. Key is the leader's key, and StateKey the key of its
+	// published state.
 	Name     string
 	Key      string
 	StateKey string
-	// TTL is that of the lease, and HandoverDelay the minimum time between the actions of two
+	// TTL is the lease's TTL, and HandoverDelay the minimum time between the actions of two
 	// leaders.
 	TTL           time.Duration
 	HandoverDelay time.Duration
 	// CampaignDelay returns a random wait that spreads the attempts of a whole fleet.
 	CampaignDelay func() time.Duration
-	// Eligible reports whether this node may become leader. Eligible nodes see all that the
-	// task concerns.
+	// Eligible reports whether this node may become leader. Eligible nodes observe everything
+	// that the task depends on.
 	Eligible func() bool
 	// Exists reports whether the last observation of the store showed a key.
 	Exists func(key string) bool
@@ -85,8 +86,9 @@
 	// Eras tracks the era of the store.
 	Eras *coordination.EraTracker
 
-	// lastLeaderEra is the era that a restore of the store began while this node was leader,
-	// and lastActFrom when that leadership could begin to act.
+	// lastLeaderEra is the era that began when the store was restored while this node was
+	// leader, and lastActFrom the time from which that leadership could act. Both are zero if
+	// this never happened.
 	lastLeaderEra int64
 	lastActFrom   time.Time
 }
@@ -202,17 +204,17 @@
 	}, false
 }
 
-// delayAfterRestore returns when a new leader may begin, given when it could if the store had
-// lost nothing. A restored backup does not show a leader that was elected after it was made.
-// That leader may act until it learns of the new era, possibly later than this node, or until
-// its lease ends. A node that was that leader itself need not wait for this.
+// delayAfterRestore returns when a new leader may begin to act, given when it could if the
+// store had lost nothing. A restored backup does not show a leader that was elected after the
+// backup was made. That leader may act until it learns of the new era, possibly later than
+// this node, or until its lease ends. A node that was that leader itself need not wait for it.
 func (elector *Elector) delayAfterRestore(actFrom time.Time, position coordination.Position) time.Time {
 	_, restoredAt := elector.Eras.State()
 	switch {
 	case restoredAt.IsZero():
 		return actFrom
 	case elector.lastLeaderEra == position.Era && elector.lastActFrom.After(actFrom):
-		// This node had not begun to act: it still has to wait for the leader before it.
+		// This node was still waiting for the leader before it, and must wait on.
 		return elector.lastActFrom
 	case elector.lastLeaderEra == position.Era:
 		return actFrom
--- a/internal/lease/leadership.go
+++ b/internal/lease/leadership.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Supersede ends the leadership after a call was rejected for its fencing token: another
-// leader has a higher one.
+// Supersede ends the leadership after a call was rejected for its fencing token, which means
+// that another leader has a higher one.
 func (leadership *Leadership) Supersede() { leadership.superseded.Store(true) }
 
 // Superseded reports whether the leadership was ended by another leader's token.
