--- a/internal/fleet/era_test.go
+++ b/internal/fleet/era_test.go
@@ -74,7 +74,7 @@
 			require.LessOrEqual(t, peak, 3+2*nodes/int((registrationTTL/renewalsPerTTL).Seconds()), "registrations are spread over time")
 			time.Sleep(2 * registrationTTL)
 			require.Len(t, store.Entries("nodes/"), nodes, "the registrations are kept")
-			// Take another node than the reader, which counts itself in any case.
+			// Remove a node other than the reader, which counts itself in any case.
 			others := slices.DeleteFunc(store.Entries("nodes/"), func(e coordination.Entry) bool { return e.Key == reader.registrationKey() })
 			require.Len(t, others, nodes-1)
 			reader.ObserveNodes(others[1:], time.Now())
--- a/internal/fleet/registration.go
+++ b/internal/fleet/registration.go
@@ -104,8 +104,8 @@
 	return granted.ID
 }
 
-// withUnregistered adds to the observed entries those of nodes that were registered before a
-// restore of the store and may not have registered again yet. If they were taken for lost, the
+// withPreRestoreEntries adds to the observed entries those of nodes that were registered before
+// a restore of the store and may not have registered again yet. If they counted as lost, the
 // registered nodes would claim their shares of fleet-wide budgets.
 func (r *Registry) withUnregistered(entries []coordination.Entry, now time.Time) []coordination.Entry {
 	_, restoredAt := r.Eras.State()
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -14,9 +14,9 @@
 
 const (
 	// registrationTTL is how long a failed node is still counted. Nodes that poll it go on to
-	// another one within a second, and until then the shares of fleet-wide budgets are a
-	// little smaller. Half this TTL would double the cost of renewals, by 0.005 of the value
-	// of the requests of 985 nodes.
+	// another one within a second. While it is counted, each node's share of fleet-wide
+	// budgets is a little smaller than it could be. Halving the TTL would double the cost of
+	// renewals; for 985 nodes, the addition is 0.005 of the value of all their requests.
 	registrationTTL = 18 * time.Second
 	// renewalsPerTTL gives a node several attempts before its registration expires.
 	renewalsPerTTL = 3
@@ -35,7 +35,7 @@
 	// the nodes that follow when relays are lost.
 	viewRelayFactor = 2
 	// largeNodeShare is the share of the largest node's processor time from which a node
-	// counts as large.
+	// counts as large. Large nodes rank first, and so become relays.
 	largeNodeShare = 0.5
 )
 
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -38,9 +38,9 @@
 	r.digest = r.view.digest()
 }
 
-// publishIfChanged publishes the view for starting nodes, if this is the node of rank 0 and the
-// view has changed or a restored store may have lost it. A failed write is retried with the
-// next renewal.
+// publishIfChanged writes the view to where starting nodes read it, if this is the node of rank
+// 0 and the view has changed or a restored store may have lost it. A failed write is retried
+// after the next renewal.
 func (r *Registry) publishIfChanged(ctx context.Context) {
 	era, _ := r.Eras.State()
 	r.mutex.Lock()
@@ -88,8 +88,9 @@
 }
 
 // ObserveFirstPage applies the first page of the list of registrations. It is in key order, in
-// which nodes with more processor time come first. It does not show the number of nodes; a node
-// that finds itself among the relays of a fleet of the page's size can rely on being a relay.
+// which nodes with more processor time come first. It does not show the number of nodes, but a
+// larger fleet has no fewer relays: a node that is a relay in a fleet of the page's size can
+// rely on being one.
 func (r *Registry) ObserveFirstPage(entries []coordination.Entry, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,8 +111,8 @@
 }
 
 // ObserveView applies what another node sent: a view, or nil if this node has the same one, and
-// the number of nodes, or 0 if the other node does not know it. It reports whether that node
-// knew.
+// the number of nodes, or 0 if the other node does not know it. It reports whether the other
+// node knew the fleet.
 func (r *Registry) ObserveView(view *View, nodes int) bool {
 	switch {
 	case nodes == 0:
