--- a/internal/coordination/position.go
+++ b/internal/coordination/position.go
@@ -56,8 +56,8 @@
 // EraTracker tracks the era of the shared store, from the store's responses and from other
 // nodes. Its zero value and nil know no era. It is safe for concurrent use.
 type EraTracker struct {
-	// OnChange, if set, is called for each change of the era, and OnIgnored for values that
-	// are ignored, with the current era. They must not block.
+	// OnChange, if set, is called for each change of the era, and OnIgnored, if set, for each
+	// value that is ignored, with the current era. They must not block.
 	OnChange  func(before, after int64)
 	OnIgnored func(told string, current int64)
 
@@ -67,7 +67,8 @@
 	lastIgnored *string
 	// nextChange is closed at the next change.
 	nextChange chan struct{}
-	// restoredAt is when this node learned that a restore of the store began the era.
+	// restoredAt is when this node learned that a restore of the store began the current era,
+	// or zero.
 	restoredAt time.Time
 }
 
@@ -101,8 +102,9 @@
 	return e.nextChange
 }
 
-// Ignore reports a value that is not a valid or current era. Repetitions of the same value are
-// reported once. A missing era is not reported for a store that never sent one.
+// Ignore reports a value of a response that is not a valid era or is an earlier one. Repetitions
+// of the same value are reported once. A missing era is not reported for a store that never sent
+// one.
 func (e *EraTracker) Ignore(value string) {
 	e.mutex.Lock()
 	current, isNew := e.current, e.lastIgnored == nil || *e.lastIgnored != value
--- a/internal/coordination/position_test.go
+++ b/internal/coordination/position_test.go
@@ -9,8 +9,8 @@
 	"github.com/cloverrail/cloverrail/internal/property"
 )
 
-// Tokens order positions as the store reached them. Those of a store that was never restored are
-// the revisions that builds without eras use.
+// Tokens have the order of their positions. Those of a store that was never restored equal the
+// revisions, which builds without eras use as tokens.
 func TestTokenOrderMatchesPositionOrder(t *testing.T) {
 	draw := func(t *rapid.T, name string) Position {
 		return Position{Era: rapid.Int64Range(1, 8191).Draw(t, name+" era"), Revision: rapid.Int64Range(1, 1<<revisionBits-1).Draw(t, name)}
