--- a/internal/workshare/aggregator.go
+++ b/internal/workshare/aggregator.go
@@ -21,8 +21,8 @@
 const (
 	// reportTTL is how long a report counts unless it is replaced.
 	reportTTL = time.Second
-	// maxReportedServers bounds the servers in a report. Suspected servers come first, then
-	// those with the most work.
+	// maxReportedServers bounds the servers in a report. Servers that nodes suspect to have
+	// failed come first, then those with the most work.
 	maxReportedServers = 256
 )
 
@@ -79,8 +79,8 @@
 	return sum.report()
 }
 
-// Others returns the sum of the reports of all nodes except one: a follower, or this node itself
-// if the name is "".
+// Others returns the sum of the reports of all nodes except one, which is a follower, or this
+// node itself if the name is "".
 func (a *Aggregator) Others(except string, now time.Time) Report {
 	sum := newTotals()
 	if except != "" {
@@ -135,7 +135,8 @@
 	}
 }
 
-// report returns the most important sums, in order of importance and up to the limits.
+// report returns the sums in order of importance, cut off at the maximum numbers of servers,
+// tenants and rows of a report.
 func (t *totals) report() Report {
 	work := slices.SortedFunc(maps.Values(t.work), func(a, b backend.Work) int {
 		return cmp.Or(-cmp.Compare(a.Suspects, b.Suspects), -cmp.Compare(a.QueuedTokens, b.QueuedTokens),
