--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -182,8 +182,8 @@
 }
 
 // Demand changes by up to 7.5 times the usual and partitions or restarts of up to 35 % of the
-// nodes must not push the admitted sum beyond the bound. Beyond these values it may be exceeded:
-// see docs/FINDINGS.md.
+// nodes must not push the admitted sum beyond the bound. Larger changes may exceed it: see
+// docs/FINDINGS.md.
 func TestFleetStaysWithinLimit(t *testing.T) {
 	property.CheckMany(t, 60, func(t *rapid.T) {
 		limit := tokenLimit(rapid.Float64Range(60_000, 600_000).Draw(t, "limit"))
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// peerFreshAge is the age up to which peer reports count fully. From then on the share of
-	// the limit that they cover shrinks, and reaches zero at peerMaxAge. Nodes receive reports
-	// every 150 to 400 ms.
+	// peerFreshAge is the age up to which peer reports count fully. From then on this node uses
+	// less of the limit, until only its own even share is left at peerMaxAge. Nodes receive
+	// reports every 150 to 400 ms.
 	peerFreshAge = 400 * time.Millisecond
 	peerMaxAge   = time.Second
 	// minRetryAfter and maxRetryAfter bound the retry time given to refused callers.
--- a/internal/quota/row.go
+++ b/internal/quota/row.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// rowKind identifies what a row of a server report counts. It occupies the low bits of the row's
-// key, where a tenant's key holds its hash, so that one tenant in kindMask is mistaken for a
-// row. Rows are sent as usages, so that builds that do not know a kind still sum them and pass
+// rowKind identifies what a row on a service or server counts. It occupies the low bits of the
+// row's key. A tenant's key has bits of its hash there, so that for each kind one tenant in
+// 2^kindBits is mistaken for a row. Rows are sent as usages, so that builds that do not know a kind still sum them and pass
 // them on.
 type rowKind uint64
 
--- a/internal/quota/server_bucket.go
+++ b/internal/quota/server_bucket.go
@@ -132,9 +132,9 @@
 	elapsed := max(0, now.Sub(b.at).Seconds())
 	b.at = now
 	b.level = min(b.level+b.rate(s, now)*elapsed, b.capacity(s, now))
-	// A node with little demand cannot accumulate its share for its next request, since that
-	// would add up to a lot over all nodes. It gets its part of a single request among all those
-	// requested.
+	// A node with little demand must not accumulate its share for its next request, since that
+	// would add up to a lot over all nodes. Once an empty bucket would have filled, it gets the
+	// fraction of one request that the allowed rate is of the rate requested of the fleet.
 	if elapsed >= b.fillTime(now).Seconds() && s.demandRate > 0 {
 		b.level = max(b.level, min(1, targetUtilization*b.limit(now)/s.demandRate))
 	}
@@ -154,7 +154,7 @@
 	return 1
 }
 
-// wait returns the estimated time until a request may be sent; 0 if it may be sent now.
+// wait returns the estimated time until a request may be sent, or 0 if it may be sent now.
 func (b *serverBucket) wait(s share, now time.Time) time.Duration {
 	b.advance(s, now)
 	if b.windowFull(now) {
@@ -168,8 +168,8 @@
 	return max(time.Millisecond, cappedSeconds(missing/b.rate(share{fraction: max(s.fraction, s.upcoming)}, now)))
 }
 
-// windowFull reports whether the known nodes have sent as much within the window as the server
-// is deliberately given.
+// windowFull reports whether the known nodes have sent as much within the window as is
+// deliberately sent: the limit and serverOvershootFraction of the tolerated overshoot.
 func (b *serverBucket) windowFull(now time.Time) bool {
 	limit := b.limit(now) * serverWindow.Seconds()
 	overshoot := (serverOvershootFactor-1)*limit + serverSlack
--- a/internal/quota/server_limits.go
+++ b/internal/quota/server_limits.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// ownReportLife is how long a limit received from the server itself takes precedence over
+	// ownReportTTL is how long a limit received from the server itself takes precedence over
 	// peer reports and is reported to peers.
 	ownReportLife = 3 * time.Second
 	// limitTolerance is the relative difference up to which two limits count as equal: reported
@@ -34,7 +34,7 @@
 // nodes need is left to them by the others.
 type ServerLimits struct {
 	draw func() float64
-	// known reports whether a server still exists.
+	// exists reports whether a server still exists.
 	known func(server uint64) bool
 	// active is the number of known limits. While it is zero, no lock is taken.
 	active atomic.Int64
@@ -47,7 +47,7 @@
 	sweptAt time.Time
 }
 
-// NewServerLimits returns an instance without any limits. The function known reports whether a
+// NewServerLimits returns an instance without any limits. The function exists reports whether a
 // server still exists; draw returns random numbers in [0, 1).
 func NewServerLimits(known func(server uint64) bool, draw func() float64) *ServerLimits {
 	return &ServerLimits{known: known, draw: draw, buckets: map[uint64]*serverBucket{}, demands: map[uint64]*serviceDemand{}, nodes: defaultFleetSize}
@@ -138,8 +138,8 @@
 	return s.demand(ServiceKey(service)).share(s.nodes, s.peersStale(now), now)
 }
 
-// Wait returns the estimated time until this node may send a request to a server of a service; 0
-// if it may be sent now.
+// Wait returns the estimated time until this node may send a request to a server of a service,
+// or 0 if it may be sent now.
 func (s *ServerLimits) Wait(server uint64, service string, now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -186,8 +186,8 @@
 	}
 }
 
-// MinInterval returns the minimum time between two of the fleet's own calls to a server; 0 if
-// the server has no limit.
+// MinInterval returns the minimum time between two of the fleet's own calls to a server, such as
+// status queries, or 0 if the server has no limit.
 func (s *ServerLimits) MinInterval(server uint64, now time.Time) time.Duration {
 	if !s.Active() {
 		return 0
--- a/internal/quota/server_limits_test.go
+++ b/internal/quota/server_limits_test.go
@@ -16,8 +16,8 @@
 const (
 	limitedServer  = uint64(0xabcdef0123456789)
 	limitedService = "s"
-	// gossipInterval is the time between two exchanges of reports, and gossipLag the number of
-	// exchanges by which received reports lag behind.
+	// exchangeInterval is the time between two exchanges of reports, and exchangeLag the number
+	// of exchanges by which received reports lag behind.
 	gossipInterval = 250 * time.Millisecond
 	gossipLag      = 2
 )
@@ -31,7 +31,7 @@
 	limit  float64
 	random *rand.Rand
 	now    time.Time
-	// gossipRounds holds the summed reports of all nodes, the newest last.
+	// reportRounds holds the summed reports of all nodes, the newest last.
 	gossipRounds []map[uint64]Usage
 	sent         []time.Time
 	requested    int
@@ -90,8 +90,8 @@
 	}
 }
 
-// exchangeReports publishes the reports of all nodes, and delivers those of gossipLag exchanges
-// ago.
+// exchangeReports publishes the reports of all nodes, and delivers those of exchangeLag
+// exchanges ago.
 func (f *limitedFleet) exchangeReports() {
 	sum := map[uint64]Usage{}
 	for _, n := range f.nodes {
@@ -288,7 +288,7 @@
 const propagationTime = 3 * time.Second
 
 // A lowered limit first reaches only the few nodes that get an answer from the server. The
-// others learned the previous limit less than ownReportLife ago, and would keep using it until
+// others learned the previous limit less than ownReportTTL ago, and would keep using it until
 // their next request to the server.
 func TestLoweredServerLimitPropagatesToPeers(t *testing.T) {
 	for _, size := range []int{7, 24, 100, 300} {
@@ -382,7 +382,8 @@
 	require.True(t, s.ObserveNoLimit(limitedServer, start.Add(5*time.Second), start.Add(6*time.Second)))
 }
 
-// Rows are sent in the same report as tenant usages and must be told apart when decoded.
+// Rows are sent in the same report as tenant usages and must be separated from them when
+// decoded.
 func TestRowsAreEncodedAsUsages(t *testing.T) {
 	report := Report{Nodes: 2, Usages: []Usage{{Tenant: TenantKey("t"), Requested: 2, Admitted: 1}}, Rows: []Usage{
 		{Tenant: rowKey(ServiceKey("s"), requestedRow), Requested: 3, Admitted: 2},
@@ -419,8 +420,8 @@
 	}), maxInServerWindow(5))
 }
 
-// Many nodes with little demand each get their first request in a long time when demand returns
-// after a lull, higher than before.
+// When demand returns after a lull, higher than before, many nodes with little demand each
+// receive their first request in a long time. They must not all send it at once.
 func TestSurgeOnIdleNodesStaysWithinServerLimit(t *testing.T) {
 	require.LessOrEqual(t, worstPeak(300, 1, func(f *limitedFleet) {
 		f.setDemand(10, 0)
@@ -431,7 +432,8 @@
 	}), maxInServerWindow(1))
 }
 
-// A third of the nodes is partitioned under overload.
+// Guards against nodes that keep a larger share of a limit than an even one when they no longer
+// receive reports: a third of the nodes is partitioned under overload.
 func TestPartitionedNodesKeepToEvenShare(t *testing.T) {
 	require.LessOrEqual(t, worstPeak(79, 4, func(f *limitedFleet) {
 		f.setDemand(300, 1)
@@ -442,8 +444,8 @@
 	}), maxInServerWindow(4))
 }
 
-// Hundreds of nodes draw for a limit of few requests over a long time. Without the check of the
-// window, random coincidence would exceed the limit now and then.
+// 150 nodes draw for a limit of few requests over a long time. Without the check of the window,
+// the limit would be exceeded by chance now and then.
 func TestRandomDrawsOfManyNodesStayWithinServerLimit(t *testing.T) {
 	f := newLimitedFleet(150, 2, 5)
 	f.setDemand(600, 0)
--- a/internal/quota/server_reports.go
+++ b/internal/quota/server_reports.go
@@ -18,7 +18,7 @@
 // Matches reports whether the change concerns a server.
 func (c LimitChange) Matches(server uint64) bool { return rowSubject(server) == c.Subject }
 
-// Report returns this node's rows on services and servers; none while no limit is known.
+// Report returns this node's rows on services and servers, or none while no limit is known.
 func (s *ServerLimits) Report(now time.Time) []Usage {
 	if !s.Active() {
 		return nil
@@ -145,9 +145,9 @@
 
 // applyPeerLowered applies a lower limit that a server recently advertised to peers. It takes
 // precedence over the limit received by this node, which is usually older: otherwise a limit
-// that falls to a fortieth would be exceeded for the three seconds of ownReportLife (14 requests
-// of 11 in 4 s at 100 nodes). If the limit has risen since, this node learns that later and
-// sends too little meanwhile.
+// that falls to a fortieth would be exceeded for the three seconds of ownReportTTL (14 requests
+// in 4 s at 100 nodes, where 11 are tolerated). If the limit has risen since, this node learns
+// that later and sends too little meanwhile.
 func (s *ServerLimits) applyPeerLowered(key uint64, row Usage) (LimitChange, bool) {
 	b := s.buckets[key]
 	if b == nil || row.Admitted <= 0 {
--- a/internal/quota/service_demand.go
+++ b/internal/quota/service_demand.go
@@ -16,8 +16,8 @@
 	demandSampleInterval = 125 * time.Millisecond
 	demandSampleAge      = time.Second
 	demandSamples        = int(demandSampleAge / demandSampleInterval)
-	// baselineDecay is the averaging time of the usual demand. After a lull, callers may return
-	// at all nodes at the same moment.
+	// baselineDecay is the averaging time of the usual demand. It is long enough to remember that
+	// demand during a lull, after which callers may return at all nodes at the same moment.
 	baselineDecay = 30 * time.Second
 	// lullFraction is the fraction of the baseline below which demand counts as a lull,
 	// surgeFactor how many times the baseline may be requested when it ends, and lullRecovery
@@ -37,7 +37,7 @@
 	newestSample int64
 	// peers is the last report of the peers: their request rate and their number.
 	peers Usage
-	// baseline is the mean request rate of all nodes since the first update, over at most
+	// baseline is the mean request rate of all nodes since observedSince, over at most
 	// baselineDecay, as of baselineAt.
 	baseline   float64
 	baselineAt time.Time
--- a/internal/quota/tenant_bucket.go
+++ b/internal/quota/tenant_bucket.go
@@ -35,7 +35,7 @@
 
 // visibility describes how much of the fleet's usage a node knows.
 type visibility struct {
-	// ownShare is this node's even share of the fleet, and heardShare the share of all nodes
+	// ownShare is this node's even share of the fleet, and reportedShare the share of all nodes
 	// covered by the last peer reports, this node included. Both range from 0 to 1.
 	ownShare   float64
 	heardShare float64
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -8,15 +8,16 @@
 )
 
 // Usage is the usage of one tenant's limit by one or more nodes, in the limit's unit per second.
+// In Report.Rows it is a row on a service or server, with the meanings that rowKind lists.
 type Usage struct {
-	// Tenant is the TenantKey of the tenant's name.
+	// Key is the TenantKey of the tenant's name, or the rowKey of a row.
 	Tenant uint64
 	// Requested is the demand of callers, and Admitted the part of it that is admitted.
 	Requested float64
 	Admitted  float64
 }
 
-// Plus returns the sum of two usages of the same tenant.
+// Plus returns the sum of two usages with the same key.
 func (u Usage) Plus(other Usage) Usage {
 	return Usage{Tenant: other.Tenant, Requested: u.Requested + other.Requested, Admitted: u.Admitted + other.Admitted}
 }
@@ -35,8 +36,8 @@
 
 const (
 	// requestedDecay and admittedDecay are the decay time constants of the measured rates.
-	// Demand changes slowly and consists of few large requests; the admitted rate must be known
-	// quickly.
+	// Demand changes slowly and consists of few large requests, so it is averaged for longer. The
+	// admitted rate must be known quickly.
 	requestedDecay = time.Second
 	admittedDecay  = 500 * time.Millisecond
 	// minReportedFraction is the fraction of a node's even share of a limit above which its
@@ -70,8 +71,8 @@
 	return f.sum * math.Exp(-max(0, now.Sub(f.at).Seconds())/f.decay.Seconds())
 }
 
-// perSecond returns the rate at a time. Its integral is exact, but the rate still rises while it
-// is younger than its decay time.
+// perSecond returns the rate at a time. Its integral over time is exact, but the rate is too low
+// until it has been observed for several times its decay time; estimate corrects for that.
 func (f *decayingRate) perSecond(now time.Time) float64 {
 	return max(0, f.remaining(now)) / f.decay.Seconds()
 }
