--- a/internal/workshare/aggregator.go
+++ b/internal/workshare/aggregator.go
@@ -21,8 +21,8 @@
 const (
 	// reportTTL is how long a report counts unless it is replaced.
 	reportTTL = time.Second
-	// maxReportedServers bounds the servers in a report. Servers that nodes suspect to have
-	// failed come first, then those with the most work.
+	// maxReportedServers bounds the servers in a report. Suspected servers (see backend.Work)
+	// come first, then those with the most work.
 	maxReportedServers = 256
 )
 
