--- a/internal/residency/change_log.go
+++ b/internal/residency/change_log.go
@@ -39,8 +39,8 @@
 }
 
 // changeLog holds the latest entries in order. Its epoch is a random number that identifies it.
-// Most nodes are never queried for updates: their log stays idle, without entries, until the
-// first request.
+// Most nodes are never queried for updates, so a log is idle, without entries, until the first
+// request, and again after 2*maxLogEntries entries without a request.
 type changeLog struct {
 	epoch   uint64
 	first   int64
@@ -78,7 +78,8 @@
 	c.lastRequested = c.next()
 }
 
-// Place is a position in another node's log. The zero value is before any update.
+// Place is a position in another node's log: Life is the log's epoch, and Next the number of the
+// next entry. The zero value is before any update.
 type Place struct {
 	Life uint64
 	Next int64
--- a/internal/residency/ledger.go
+++ b/internal/residency/ledger.go
@@ -1,7 +1,7 @@
-// Package residency tracks which servers and stores hold cached pieces of prompts. Each of these
-// holders is watched by one node, which forwards the changes to the others; in addition each
-// node assumes that holders have what it recently sent them. Both are hints: a server that lacks
-// a piece computes it.
+// Package residency tracks which servers and KV cache stores hold cached pieces of prompts. Each
+// of these holders is watched by one node, which forwards the changes to the others; in addition
+// each node assumes that holders have what it recently sent them. Both are hints: a server that
+// lacks a piece computes it.
 package residency
 
 import (
@@ -15,7 +15,8 @@
 // since nodes exchange many of them; a collision costs one wrong hint.
 type Key uint32
 
-// NewKey returns the key of the piece with the given id and salt.
+// NewKey returns the key of the piece with the given id. The salt stands for its cache scope,
+// model and version.
 func NewKey(salt, id string) Key { return Key(prefix.HashName(salt + id)) }
 
 // Piece is one piece of a prompt, in prompt order.
@@ -31,14 +32,15 @@
 	// maxAssumedAge is how long an unused piece is assumed to be cached.
 	maxAssumedAge = time.Minute
 	// minAssumedAge is the minimum time for which a piece that this node sent to a watched
-	// holder is assumed to be cached: by then the holder has reported it, if it has it.
+	// holder is assumed to be cached. By the end of it the holder has reported the piece, if it
+	// has it.
 	minAssumedAge = time.Second
-	// minSweepSize is the number of pieces of one holder above which old ones are removed.
+	// minSweepSize is the number of pieces of one holder from which old ones are removed.
 	minSweepSize = 4096
 )
 
-// sendRecord records when a piece was last sent: the holder's count of written tokens, the time
-// from which the piece is available, and the time of its last use.
+// sendRecord records when a piece was last sent: the holder's count of written tokens at that
+// time, the time from which the piece is available, and the time of its last use.
 type sendRecord struct {
 	written     int64
 	availableAt time.Time
@@ -179,9 +181,9 @@
 	return known
 }
 
-// Replace sets the pieces that a holder reports to have. From then on its reports count, and a
-// piece that this node sends to it is assumed to be cached only until the holder must have
-// reported it.
+// Replace sets the pieces that a holder reports to have. From then on the holder's reports count.
+// A piece that this node sends to it is assumed to be cached only for as long as its report may
+// take.
 func (l *Ledger) Replace(holder string, keys []Key) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -222,7 +224,7 @@
 	}
 }
 
-// apply applies changes reported by a peer.
+// applyFromPeer applies changes reported by a peer.
 func (l *Ledger) apply(holder string, known *holderState, cached, evicted []Key) {
 	for _, key := range cached {
 		l.markPresent(holder, known, key)
--- a/internal/residency/peer_receiver.go
+++ b/internal/residency/peer_receiver.go
@@ -36,8 +36,8 @@
 }
 
 // Receive applies a peer's update since the requested position; nil means that nothing has
-// changed. A malformed update changes nothing, and resets the position, so that the next request
-// fetches everything.
+// changed. A malformed update changes nothing in the ledger and resets the position, so that the
+// next request fetches everything.
 func (r *PeerReceiver) Receive(peer string, since Place, data []byte, now time.Time) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/residency/watcher.go
+++ b/internal/residency/watcher.go
@@ -15,7 +15,7 @@
 
 // Batch is a set of changes reported by a holder.
 type Batch struct {
-	// Life identifies the holder's incarnation; Next is the position to continue from.
+	// BootEpoch identifies the holder's incarnation; Next is the position to continue from.
 	Life int64
 	Next int64
 	// Gap is set if changes before these have been lost.
@@ -147,8 +147,8 @@
 	w.ledger.Drop(w.holder, false)
 }
 
-// loadInitial fetches all pieces that the holder has. At first it reads the changes from the
-// start, if the holder still has them all, because producing the list interrupts the holder's
+// fetchAll fetches all pieces that the holder has. Unless it resyncs, it reads the changes from
+// the start if the holder still has them all, because producing the list interrupts the holder's
 // work.
 func (w *Watcher) loadInitial(ctx context.Context) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -175,7 +175,8 @@
 		w.recorder.WatchStarted(w.holder)
 	}
 	epoch, next := all.Life, all.Next
-	// Lost changes accumulate, so the full list is fetched again after a time.
+	// Changes that the holder failed to report add up, so the full list is fetched again after
+	// resyncInterval.
 	pause.For(ctx, w.MinInterval())
 	for start := boottime.Now(); ctx.Err() == nil && boottime.Since(start) < resyncInterval; {
 		batch, err := w.changes(ctx, next)
--- a/internal/residency/watcher_test.go
+++ b/internal/residency/watcher_test.go
@@ -14,7 +14,8 @@
 	"github.com/cloverrail/cloverrail/internal/pause"
 )
 
-// fakeHolder is a holder that reports its cached pieces.
+// fakeHolder is a holder that reports its cached pieces. The first entry of its log has the
+// number first.
 type fakeHolder struct {
 	mutex   sync.Mutex
 	life    int64
