--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -28,18 +28,18 @@
 	Loaded(loaded Loaded)
 }
 
-// errRestarted means that the server has restarted since it was queried.
+// errRestarted means that another incarnation of the server than the queried one has answered.
 var errRestarted = errors.New("server restarted since it was queried")
 
 const (
 	callTimeout = 300 * time.Millisecond
-	// finishFraction is the fraction of the bound on weights by which all servers should have
-	// been updated.
+	// finishFraction is the fraction of Controller.MaxStaleness after which all servers should
+	// have been updated.
 	finishFraction = 0.8
-	// orderMargin is the time reserved below the bound for the order to arrive.
+	// orderMargin is the time reserved before MaxStaleness for an order to arrive.
 	orderMargin = 700 * time.Millisecond
-	// rebroadcastInterval is the time after which ongoing loads are broadcast again: nodes drop
-	// them after a few seconds, because the leader may be lost.
+	// rebroadcastInterval is the time after which ongoing loads are broadcast again: other nodes
+	// drop them after a few seconds without a broadcast, because the leader may be lost.
 	rebroadcastInterval = time.Second
 )
 
@@ -49,7 +49,8 @@
 	Set      *backend.Set
 	Servers  Servers
 	Recorder Recorder
-	Holder   string
+	// Holder is this node's name, which orders carry as the leader's name.
+	Holder string
 	// MaxStaleness is the longest time for which older weights may serve.
 	MaxStaleness time.Duration
 	// PropagationDelay returns the time in which a broadcast reaches all nodes.
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -2,7 +2,8 @@
 // ordered to load them. One node at a time executes these decisions, under a lease whose fencing
 // token is sent with every order.
 //
-// Machine is a pure state machine.
+// Machine makes the decisions. It is a pure state machine: it reads no clock and sends nothing.
+// Controller executes them.
 package rollout
 
 import (
@@ -59,10 +60,10 @@
 	// ContinueInFlight continues them with the new weights. The output generated from then on is
 	// worthless.
 	//
-	// The rollout always uses this policy. With n requests in flight it loses about half of each
-	// answer. AwaitInFlight blocks new requests until the longest of them has finished, in which
-	// time the server would have answered n or more: it answers n in the mean duration of a
-	// request.
+	// The rollout always uses this policy, since it costs less. With n requests in flight, it
+	// loses about half of each of n answers. AwaitInFlight blocks new requests until the longest
+	// of the n has finished. In the mean duration of a request the server answers n requests, so
+	// that at least n answers are lost.
 	ContinueInFlight
 )
 
@@ -99,7 +100,8 @@
 	resendAfter = time.Second
 	// failureBackoff is how long a server is skipped after an order or a query to it has failed.
 	failureBackoff = 500 * time.Millisecond
-	// defaultLoadTime is the assumed duration of a load before any was observed.
+	// defaultLoadTime is the assumed duration of a load before any was observed, and
+	// loadTimeGain the weight of each observed one in the moving average.
 	defaultLoadTime = time.Second
 	loadTimeGain    = 0.3
 	// overdueFactor is the multiple of the usual load time after which other servers no longer
@@ -115,8 +117,8 @@
 type Machine struct {
 	pending      map[string]*pendingLoad
 	backoffUntil map[string]time.Time
-	// sequences holds the count of orders that each server last reported, and contactedAt the
-	// time of the last order or query to it.
+	// sequences holds the number of orders that each server has accepted, as far as known, and
+	// contactedAt the time of the last order or query to it.
 	sequences   map[string]int64
 	contactedAt map[string]time.Time
 	loadTime    time.Duration
@@ -284,8 +286,8 @@
 	delete(machine.pending, instance)
 }
 
-// inProgress reports whether an order has not taken effect yet. Otherwise the load time is
-// updated with its duration.
+// inProgress reports whether an order has not taken effect yet. If a sent one has, the moving
+// average of the load time is updated with its duration.
 func (machine *Machine) inProgress(now time.Time, move *pendingLoad, server backend.Server) bool {
 	if server.Versions[move.order.Model] < move.order.Version {
 		return true
@@ -332,7 +334,8 @@
 }
 
 // includingPropagation returns the number of planned and ongoing loads that keep the given
-// number of servers loading, since a load in its propagation delay is not yet loading.
+// number of servers loading. It is higher, since a planned load waits for its propagation delay
+// before its order is sent.
 func (machine *Machine) includingPropagation(loading int, delay time.Duration) int {
 	return int(float64(loading) * (1 + delay.Seconds()/machine.loadTime.Seconds()))
 }
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -327,8 +327,8 @@
 	require.Len(t, newMachine().Step(now, targets, servers), 1, "there is no time to wait for propagation")
 }
 
-// Guards against a slower rollout due to the propagation delay: the same number of servers must
-// load concurrently as without it.
+// Guards against a slower rollout due to the propagation delay: more loads must be planned, so
+// that as many servers load concurrently as without it.
 func TestPropagationDelayDoesNotReduceConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	planned := func(propagation time.Duration) int {
--- a/internal/rollout/targets.go
+++ b/internal/rollout/targets.go
@@ -17,8 +17,8 @@
 	// OrderWithin is the time after a release by which every server must have received its
 	// order: from then on no request may start on the old weights.
 	OrderWithin time.Duration
-	// DisruptedAt is the time of the last failure to read the shared store. No server could be
-	// updated until then, so earlier time does not count.
+	// DisruptedAt is when the shared store was last disrupted. No server could be updated until
+	// then, so the time before it does not count towards the deadlines.
 	DisruptedAt time.Time
 	// PropagationDelay is how long before its order a server is broadcast as loading, so that
 	// nodes that learn of it late do not send it requests that it would reject.
@@ -26,8 +26,8 @@
 	// Uses holds the requests in flight at each instance. Those with the fewest go first, since
 	// a load begins when these have ended.
 	Uses map[string]backend.Use
-	// Resting holds the servers that have asked this node to back off, with the end of the
-	// backoff.
+	// ServersInBackoff holds the servers that have asked this node to back off, with the end of
+	// the backoff.
 	Resting map[string]time.Time
 	// MinInterval returns the minimum time between two calls to a server, as set by its rate
 	// limit.
