--- a/internal/catalog/replica.go
+++ b/internal/catalog/replica.go
@@ -16,8 +16,8 @@
 	UnreleasedAt time.Time
 }
 
-// EffectiveAt returns the time from which a release counts: no node could follow it while the
-// store was disrupted. It is zero if unknown.
+// EffectiveAt returns the time from which a release counts, or zero if that is unknown: no node
+// could learn of the release while the store was disrupted.
 func (release Release) EffectiveAt(disruptedAt time.Time) time.Time {
 	if !release.UnreleasedAt.IsZero() && release.UnreleasedAt.Before(disruptedAt) {
 		return disruptedAt
@@ -86,8 +86,8 @@
 	// AsOf is when the request was sent whose answer proved the replica current. Anything
 	// acknowledged to an operator later may be missing.
 	AsOf time.Time
-	// DisruptedAt is when a read last failed: the store or the connection to it was unavailable
-	// then, so nothing due since an earlier time could be done until then.
+	// DisruptedAt is when the store, or the network path to it, was last known to be disrupted,
+	// or zero. What was due before could not be done until then.
 	DisruptedAt time.Time
 }
 
@@ -127,8 +127,8 @@
 	return next
 }
 
-// MarkDisrupted returns the replica updated with a failed read. Before the first read this is a
-// replica without a snapshot.
+// MarkDisrupted returns the replica updated with a disruption of the store at a time. Before the
+// first read this is a replica without a snapshot.
 func MarkDisrupted(known *Replica, now time.Time) *Replica {
 	if known == nil {
 		return &Replica{DisruptedAt: now}
