--- a/internal/residency/watcher.go
+++ b/internal/residency/watcher.go
@@ -15,7 +15,7 @@
 
 // Batch is a set of changes reported by a holder.
 type Batch struct {
-	// BootEpoch identifies the holder's incarnation; Next is the position to continue from.
+	// Life identifies the holder's incarnation; Next is the position to continue from.
 	Life int64
 	Next int64
 	// Gap is set if changes before these have been lost.
