--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -1,6 +1,6 @@
 // Package fleet registers a node in the shared store, under a key with a lease, and derives the
-// size of the fleet and the roles of its first nodes from the registrations. Only the first
-// nodes need to be known by name.
+// size of the fleet and the roles of its nodes from the registrations. Only the first nodes by
+// rank need to be known by name.
 package fleet
 
 import (
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -99,8 +99,8 @@
 	lease      coordination.Lease
 	// keyPosition is where the leader's key was written.
 	keyPosition coordination.Position
-	// renewalSentAt is when the last renewal was sent, and renewalConfirmedAt when the last
-	// successful one was.
+	// renewalSentAt is when the last renewal was sent, and renewalConfirmedAt when the last one
+	// that succeeded was sent.
 	renewalSentAt      time.Time
 	renewalConfirmedAt time.Time
 	// publishedState is the state that was published last.
--- a/internal/reflector/feed.go
+++ b/internal/reflector/feed.go
@@ -28,7 +28,7 @@
 	Gone    []string
 	// Sum is the checksum of all servers at Place, or 0 if the responding node is behind it.
 	Sum uint64
-	// Loads is the state of the weight roll-out, or nil if it is not newer than the
+	// Loads is the state of the weight rollout, or nil if it is not newer than the
 	// requesting node's.
 	Loads *backend.Loads
 	// Age is the age of the responding node's list of servers. BeliefAge is the time since
@@ -67,7 +67,7 @@
 	Feed  string
 	Place coordination.Position
 	Wait  time.Duration
-	// Loads is the state of the weight roll-out that the sender has.
+	// Loads is the state of the weight rollout that the sender has.
 	Loads backend.LoadsMark
 	// Node is the sender's name.
 	Node string
@@ -147,7 +147,7 @@
 	return len(f.servers.servers), now.Sub(f.servers.readAt)
 }
 
-// ApplyLoads applies the state of the weight roll-out, and reports whether it is newer than
+// ApplyLoads applies the state of the weight rollout, and reports whether it is newer than
 // the known one.
 func (f *Feed) ApplyLoads(loads backend.Loads) bool {
 	f.mutex.Lock()
@@ -160,7 +160,7 @@
 	return true
 }
 
-// LoadsMark identifies the known state of the weight roll-out.
+// LoadsMark identifies the known state of the weight rollout.
 func (f *Feed) LoadsMark() backend.LoadsMark {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -256,7 +256,7 @@
 	}
 }
 
-// awaitChanges returns the changes of the list of servers and of the roll-out. It does not
+// awaitChanges returns the changes of the list of servers and of the rollout. It does not
 // wait if there are other changes to send.
 func (f *Feed) awaitChanges(ctx context.Context, request PollRequest) Delta {
 	delta, changed := f.changesSince(request)
@@ -279,7 +279,7 @@
 	return replica != nil && replica.Snapshot != nil && replica.Snapshot.Version > request.Declaration
 }
 
-// hasNoServerChanges reports whether a delta contains neither server nor roll-out changes.
+// hasNoServerOrRolloutChanges reports whether a delta contains neither server nor rollout changes.
 func (d *Delta) hasNoServerChanges() bool {
 	return !d.Whole && len(d.Changed)+len(d.Gone) == 0 && d.Loads == nil
 }
--- a/internal/reflector/follow.go
+++ b/internal/reflector/follow.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// ApplyLoads applies the state of the weight roll-out, and makes it available to other nodes.
+// ApplyLoads applies the state of the weight rollout, and makes it available to other nodes.
 func (r *Reflector) ApplyLoads(loads backend.Loads) {
 	if r.Feed.ApplyLoads(loads) {
 		r.Set.SetLoads(loads, boottime.Now())
--- a/internal/reflector/follow_test.go
+++ b/internal/reflector/follow_test.go
@@ -226,8 +226,8 @@
 	require.Contains(t, own.servers, "i-3")
 }
 
-// After a poll that brought a roll-out change, the follower's next request must carry the new
-// roll-out state: with the old one it would be answered at once, in a loop, until the list of
+// After a poll that brought a rollout change, the follower's next request must carry the new
+// rollout state: with the old one it would be answered at once, in a loop, until the list of
 // servers changes.
 func TestFollowerIsCurrentAfterEachPoll(t *testing.T) {
 	replica := &catalog.AtomicReplica{}
--- a/internal/reflector/transport.go
+++ b/internal/reflector/transport.go
@@ -256,7 +256,7 @@
 }
 
 // Group is a relay's response to another relay: the report of its group, the state of the
-// weight roll-out if that has changed, and the changes of the caches that it watches itself.
+// weight rollout if that has changed, and the changes of the caches that it watches itself.
 type Group struct {
 	Report workshare.Report
 	Loads  *backend.Loads
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// AnyBehind reports whether any server needs an order.
+// AnyStale reports whether any server that is not draining lacks a released version.
 func AnyBehind(targets Targets, servers []backend.Server, now time.Time) bool {
 	for _, server := range servers {
 		if _, outdated := targets.staleness(server, now); outdated && !server.Draining {
