--- a/cmd/cloverrail/attempt_timeout_test.go
+++ b/cmd/cloverrail/attempt_timeout_test.go
@@ -20,7 +20,7 @@
 			succeeds(c)(server, w, r)
 		}
 	}
-	// The targets are 300 and 800 ms.
+	// The latency targets of the two routes, 300 and 800 ms, are shorter than the pause.
 	for name, c := range map[string]routeCall{"again": idempotent, "resumable stream": resumableStream} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/cloverrail/fixture_test.go
+++ b/cmd/cloverrail/fixture_test.go
@@ -209,6 +209,7 @@
 type clientResult struct {
 	status int
 	header http.Header
+	// closesConnection says that the response announced the end of the connection.
 	closes bool
 	body   string
 	err    error
--- a/cmd/cloverrail/limit_test.go
+++ b/cmd/cloverrail/limit_test.go
@@ -46,7 +46,7 @@
 // maxReasons bounds the reasons that are kept.
 const maxReasons = 3
 
-// generateLoad sends requests on a route to nodes for a duration, some hundred per second to each.
+// generateLoad sends requests on a route to nodes for a duration, at most 200 per second to each.
 // All must be served, or rejected as not run with a Retry-After.
 func generateLoad(t *testing.T, c routeCall, duration time.Duration, nodes ...*fixture) *loadResult {
 	counts := &loadResult{}
--- a/cmd/cloverrail/process.go
+++ b/cmd/cloverrail/process.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	// leaseFraction is the TTL of the leader's lease as a fraction of the handover delay between
-	// two leaders.
+	// leaseFraction is the TTL of the rollout leader's lease as a fraction of the handover delay
+	// between two leaders.
 	leaseFraction = 0.65
 	// campaignDelayPerRank staggers leadership campaigns by rank, so that the first reader, which
 	// the relays poll, comes first.
@@ -76,7 +76,7 @@
 	registry         *fleet.Registry
 	feed             *reflector.Feed
 	workReports      *workshare.Aggregator
-	// peers calls other nodes.
+	// peerClient calls other nodes.
 	peers *http.Client
 	// quarantinePersister writes quarantined requests to the store.
 	quarantinePersister *quarantine.Persister
@@ -274,7 +274,7 @@
 	}
 }
 
-// newQuarantinePersister returns the writer of quarantined requests to the store.
+// newQuarantinePersister returns the persister that writes quarantined requests to the store.
 func (process *process) newQuarantinePersister() *quarantine.Persister {
 	return &quarantine.Persister{
 		Store:       process.store.WithPurpose("quarantine"),
@@ -350,7 +350,7 @@
 	return addresses
 }
 
-// runBackgroundTasks starts registration, the quarantine writer and leader election. The returned
+// runBackgroundTasks starts registration, the quarantine persister and leader election. The returned
 // channel is closed once all of them have released their store entries after the context ends.
 func (process *process) runBackgroundTasks(ctx context.Context) <-chan struct{} {
 	bounds := process.settings.Bounds
--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -170,7 +170,7 @@
 		"bad deadline": {"/once/", "", with(standin.HeaderDeadline, "soon"), http.StatusBadRequest},
 		"long body":    {"/once/", strings.Repeat("x", 1001), nil, http.StatusRequestEntityTooLarge},
 		"long head":    {"/once/", "", with("X-Long", strings.Repeat("x", 5000)), http.StatusRequestHeaderFieldsTooLarge},
-		"broken prompt": {"/stream/", "", func(request *http.Request) {
+		"malformed prompt": {"/stream/", "", func(request *http.Request) {
 			setPromptHeaders(request)
 			request.Header.Set(standin.HeaderPromptPrefix, "a")
 		}, http.StatusBadRequest},
@@ -372,7 +372,8 @@
 	arrivals := server.Arrivals()
 	salt := arrivals[len(arrivals)-1].Header.Get(standin.HeaderSalt)
 	shared := []residency.Piece{{Key: residency.NewKey(salt, "5c1e"), Tokens: 800}}
-	// Uses the name of another incarnation, for which this node has sent nothing that would count.
+	// Asks for an incarnation to which this node has sent nothing, so that only the watched cache
+	// counts, and not the parts that the node expects to be cached after its own requests.
 	held := func() int { return fixture.process.cacheLedger.CachedTokens(known.Address, "told", shared, time.Now()) }
 	fixture.waitUntil(func() bool { return held() == 800 })
 	fixture.store.ReleaseVersion(model, 2)
--- a/cmd/cloverrail/store_restore_test.go
+++ b/cmd/cloverrail/store_restore_test.go
@@ -20,7 +20,7 @@
 // lostRevisions is the number of revisions that a restore of the store loses.
 const lostRevisions = 300
 
-// writeRevisions makes the writes that a later restore loses.
+// writeRevisions makes lostRevisions writes, which a later restore loses.
 func writeRevisions(store *standin.Store) {
 	for i := range lostRevisions {
 		store.Put("op/unused", i)
