--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -145,9 +145,10 @@
 	recorder.limitedLine(zerolog.InfoLevel).Str("id", request.ID).Stringer("fingerprint", fingerprint).Msg("cleared")
 }
 
-// QuarantinePersisted records a write of a request's quarantine state to the shared store.
+// QuarantinePersisted records a write of a request's quarantine state to the shared store, which
+// failed if err is set.
 func (recorder *Recorder) QuarantinePersisted(fingerprint quarantine.Fingerprint, held bool, err error) {
-	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("quarantine state written to the store")
+	recorder.log.Info().Stringer("fingerprint", fingerprint).Bool("held", held).Err(err).Msg("store write of the quarantine state finished")
 }
 
 // NoticeReceived records the server state reported in response headers: all of it, what has
@@ -178,7 +179,7 @@
 // maxUnknownHeaders bounds the unknown server headers that are logged, once each.
 const maxUnknownHeaders = 32
 
-// unknownHeader counts an unknown server header, and logs it the first time.
+// recordUnknownHeader counts an unknown server header, and logs it the first time.
 func (recorder *Recorder) unknownHeader(server, header string) {
 	recorder.metrics.notices.WithLabelValues("unknown").Inc()
 	recorder.mutex.Lock()
@@ -375,7 +376,7 @@
 // ViewPublished records that this node wrote, or failed to write, the fleet view that starting
 // nodes bootstrap from.
 func (recorder *Recorder) ViewPublished(err error) {
-	recorder.log.Info().Err(err).Msg("fleet view written to the store")
+	recorder.log.Info().Err(err).Msg("store write of the fleet view finished")
 }
 
 // FleetResized records the number of nodes in the fleet, and logs it if it has changed.
@@ -447,7 +448,7 @@
 
 // EraIgnored records an invalid or outdated store era in a response of the store or of a node.
 func (recorder *Recorder) EraIgnored(value string, current int64) {
-	recorder.limitedLine(zerolog.WarnLevel).Str("told", value).Int64("era", current).Msg("ignored a store era")
+	recorder.limitedLine(zerolog.WarnLevel).Str("told", value).Int64("era", current).Msg("ignored an invalid or outdated store era")
 }
 
 // EntryUnreadable records a store entry that was skipped.
