--- a/internal/keepalive/client.go
+++ b/internal/keepalive/client.go
@@ -26,7 +26,7 @@
 	// transitMargin is left before the end of a server's idle timeout for the request to reach the
 	// server.
 	transitMargin = 200 * time.Millisecond
-	// onceFraction is the fraction of a server's idle timeout after which a connection is no longer
+	// atMostOnceFraction is the fraction of a server's idle timeout after which a connection is no longer
 	// reused for requests that must not run twice.
 	onceFraction = 0.6
 	// maxServers bounds the servers that are remembered. When it is reached, all are forgotten.
@@ -82,7 +82,7 @@
 
 // Do sends the request that build returns. It calls build again if a connection turned out to be
 // closed before any byte of the request was sent. The body must not be replayable, so that
-// net/http does not resend a request by itself. Once says that the request must not run twice.
+// net/http does not resend a request by itself. AtMostOnce says that the request must not run twice.
 //
 // ErrUnsent and dial errors guarantee that nothing was sent.
 func (c *Client) Do(build func() *http.Request, once bool) (*http.Response, error) {
@@ -121,7 +121,8 @@
 	client  *Client
 	address string
 	once    bool
-	// needsNew says that the request must not reuse a connection.
+	// needsNewConnection says that the request must not reuse a connection: net/http would resend it
+	// by itself if a reused one failed.
 	needsNew bool
 
 	mutex  sync.Mutex
@@ -159,7 +160,7 @@
 	return u.conn != nil && u.conn.unsent()
 }
 
-// timeoutOf returns the estimator of a server's idle timeout. The caller holds the mutex.
+// estimatorFor returns the estimator of a server's idle timeout. The caller holds the mutex.
 func (c *Client) timeoutOf(address string) *IdleTimeout {
 	timeout := c.idleTimeouts[address]
 	if timeout == nil {
