--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -11,7 +11,7 @@
 
 // Proxy holds the settings of a proxy process.
 type Proxy struct {
-	// Name of the node, which is unique to its machine.
+	// Name identifies the node, also across restarts. No two machines may use the same one.
 	Name string `yaml:"name" validate:"required"`
 	Zone string `yaml:"zone" validate:"required"`
 	// Zones maps each zone to its region.
@@ -59,7 +59,8 @@
 	StartupGrace time.Duration `yaml:"contact" validate:"gt=0"`
 	// LeaderHandover is the minimum time between the orders of two successive rollout leaders.
 	LeaderHandover time.Duration `yaml:"holderChange" validate:"gt=0"`
-	// RetryRatio, RetryExtra and RetryWindow define the fleet's retry budget.
+	// RetryRatio, RetryExtra and RetryWindow bound the fleet's retries to one service: in any window,
+	// at most the ratio times the number of first attempts, plus the extra.
 	RetryRatio  float64       `yaml:"retryRatio" validate:"min=0"`
 	RetryExtra  float64       `yaml:"retryExtra" validate:"min=0"`
 	RetryWindow time.Duration `yaml:"retryWindow" validate:"gt=0"`
