--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -22,7 +22,7 @@
 // maxLineBytes bounds a log line.
 const maxLineBytes = 1 << 20
 
-// logLine holds the fields of a proxy's log line that explain uses.
+// logLine holds the fields of a proxy's log line that explain reads.
 type logLine struct {
 	ID           string    `json:"id"`
 	Time         time.Time `json:"time"`
@@ -60,19 +60,20 @@
 	// Fingerprint is the same for all retries of a request. It is set if a server may have crashed
 	// while running the request.
 	Fingerprint string `json:"fingerprint"`
-	// Settled says whether the server had crashed.
+	// Settled says whether a suspected server had crashed.
 	Settled string `json:"settled"`
-	// Crashes to Stored describe the rejection of a quarantined request; Crashes is the number of
-	// crashes.
+	// Crashes, Weight and Stored describe the rejection of a quarantined request: the number of servers
+	// that crashed while running it, their total weight, and whether the quarantine comes from the store.
 	Crashes int     `json:"ended"`
 	Weight  float64 `json:"weight"`
 	Stored  bool    `json:"stored"`
-	// Tenant to Requested, and Level to Age, describe a rejection because of a tenant's limit.
+	// Tenant, Limit and Requested, and Level, AdmitRatio, Nodes and Age below, describe a rejection
+	// because of a tenant's limit.
 	Tenant    string  `json:"tenant"`
 	Limit     float64 `json:"limit"`
 	Requested float64 `json:"asked"`
-	// Service to OverLimit describe a rejection because of servers' rate limits, and the servers
-	// skipped because of them.
+	// Service, Servers and Shortest describe a rejection because of servers' rate limits. OverLimit is
+	// the number of servers that a placement skipped because of them.
 	Service   string  `json:"service"`
 	Servers   int     `json:"servers"`
 	Shortest  float64 `json:"shortest"`
