--- a/cmd/cloverrail/quarantine_test.go
+++ b/cmd/cloverrail/quarantine_test.go
@@ -200,11 +200,11 @@
 // Guards against quarantining a long harmless request that shares its prompt with a crashing one.
 // Prompt affinity sends both to the same engine, and the harmless one never completes and clears
 // itself before the crash, so both reach the same crash count. Unless they are told apart, both
-// are quarantined for ten minutes; this once rejected a harmless request 180 times. Here responses
-// are long and no other requests are sent.
+// are quarantined for ten minutes; this once rejected a harmless request 180 times.
 func TestLongBystanderOfCrashesIsServed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 8)
+	// Responses are long, and no other requests are sent.
 	for _, m := range f.machines {
 		if m.Model != "" {
 			m.Handler = standin.StreamPaced(8, 100*time.Millisecond, "token")
