--- a/internal/node/active_config.go
+++ b/internal/node/active_config.go
@@ -23,9 +23,12 @@
 	// watchersPerZone is the number of nodes per zone that watch the key-value
 	// service. All others get changes from their peers.
 	watchersPerZone = 2
-	rankInterval    = time.Second
-	// largeChangeParts is a number of new parts above that of a change of single
-	// tenants.
+	// rankInterval is how often a node checks, by the live members, whether it is one of
+	// the watchers.
+	rankInterval = time.Second
+	// largeChangeParts is the number of new parts above which the memory used for
+	// decoding is returned to the operating system. Changes of single tenants stay below
+	// it.
 	largeChangeParts = 16
 	watchRetryDelay  = time.Second
 	// rereadInterval is how often a watcher rereads the key in addition to its
@@ -67,7 +70,7 @@
 	snapshot, err := version.Compile()
 	if err != nil {
 		activeConfig.metrics.ConfigurationErrors.Inc()
-		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled")
+		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled; the previous one stays active")
 		return false
 	}
 	activeConfig.beforeActivate(snapshot)
--- a/internal/node/claim_recovery.go
+++ b/internal/node/claim_recovery.go
@@ -59,7 +59,7 @@
 			responses[index] = node.claims.handleRecords(request)
 			continue
 		}
-		// A failed call leaves the zero answer, which counts as unknown.
+		// A failed call leaves the zero response: not adopted, joined or complete.
 		responses[index], _ = callPeer[wire.ClaimListResponse](ctx, node, address, request)
 	}
 	return responses
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -69,8 +69,8 @@
 	return claims.config, claims.roster
 }
 
-// answer returns this node's vote on a claim. A requester with another roster gets
-// an abstention, so that two rosters never decide concurrently.
+// answer returns this holder's response to a claim request. A requester with another
+// roster gets an abstention, so that two rosters never decide concurrently.
 func (claims *claims) answer(request wire.ClaimRequest) wire.ClaimResponse {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
--- a/internal/node/index_partition.go
+++ b/internal/node/index_partition.go
@@ -17,7 +17,8 @@
 // it, the placement proceeds without prefix information.
 const lookupTimeout = 20 * time.Millisecond
 
-// updateStream is the position in the updates of one observer about one endpoint.
+// updateStream identifies the last update applied for one endpoint: the node that
+// observes the endpoint, and the sequence number of its update.
 type updateStream struct {
 	reader   string
 	sequence uint64
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -88,7 +88,8 @@
 	return lifecycle.requests
 }
 
-// idleFor reports whether the stopping node has rejected no request for a duration.
+// noRejectionFor reports whether the stopping node has rejected no request for a
+// duration.
 func (lifecycle *lifecycle) idleFor(duration time.Duration) bool {
 	lifecycle.mutex.Lock()
 	defer lifecycle.mutex.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 	resyncInterval      = 10 * time.Second
 	startupSyncInterval = 100 * time.Millisecond
 	directReadDelay     = 5 * time.Second
-	// expectedTTL is how long the blocks of a prompt sent to an engine are assumed to
+	// speculativeTTL is how long the blocks of a prompt sent to an engine are assumed to
 	// be cached there before a cache event confirms it; events are delayed by at most
 	// that.
 	expectedTTL = time.Second
@@ -86,7 +86,7 @@
 type Options struct {
 	// Blocked reports whether the connection to a peer is blocked.
 	Blocked func(address string) bool
-	// NoReaders disables the observers of backends, as if they had failed together
+	// NoObservers disables the observers of backends, as if they had failed together
 	// with the backends.
 	NoReaders bool
 }
--- a/internal/node/order_issuer.go
+++ b/internal/node/order_issuer.go
@@ -116,7 +116,7 @@
 			orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 			defer cancel()
 			if err := node.engines.Order(orderCtx, address, send.Order); err != nil {
-				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("order not accepted")
+				node.log.Warn().Str("engine", send.Engine).Err(err).Msg("engine did not accept the order; it is sent again if still needed")
 			}
 		}()
 	}
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -88,8 +88,8 @@
 	chooser.node.reportResult(server.Name, failed)
 }
 
-// Forward sends a request to a plain service. If its route is not repeatable and it
-// has an idempotency key, the key is claimed first.
+// Forward sends a request to a plain service. If the route is not repeatable and the
+// request has an idempotency key, the key is claimed first.
 func (node *Node) Forward(ctx context.Context, tenant *configuration.Tenant, service *configuration.Service, request plain.Request, idempotencyKey string) (*plain.Answer, error) {
 	choose := &chooser{node: node, service: service.Name, key: prefix.HashName(tenant.Name + idempotencyKey + request.Path)}
 	budget := retry.All{node.limits.tenant(tenant.Name).budget, node.retries}
