--- a/internal/dispatch/driver_test.go
+++ b/internal/dispatch/driver_test.go
@@ -40,7 +40,7 @@
 	_, _ = fmt.Fprintf(writer, "id: %d\ndata: [DONE]\n\n", largeResponseEvents)
 }
 
-// oneEngine places every attempt on one engine.
+// singleEnginePlacer places every attempt on one engine.
 type singleEnginePlacer struct{ address string }
 
 func (placer singleEnginePlacer) Place(context.Context, []string) (Target, *failure.Failure) {
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -127,7 +127,7 @@
 // Fail ends the request with a failure.
 type Fail struct{ Failure *failure.Failure }
 
-// PassRejection forwards an engine's rejection of the request itself to the
+// ForwardRejection forwards an engine's rejection of the request itself to the
 // caller.
 type PassRejection struct {
 	Status int
