--- a/internal/engineapi/messages.go
+++ b/internal/engineapi/messages.go
@@ -62,7 +62,8 @@
 	Epoch string `json:"epoch"`
 	// Status is set on the first batch of a stream and whenever it has changed.
 	Status *Status `json:"status,omitempty"`
-	// Runs holds the events. A first sequence above the last one plus one is a gap.
+	// Runs holds the events. If the first sequence number does not follow the last one
+	// received, events were lost.
 	Runs []EventRun `json:"runs,omitempty"`
 	Load Load       `json:"load"`
 }
