--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,8 +92,8 @@
 func (gateway *Gateway) handler(route string, handle func(*call) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if gateway.router.Draining() {
-			// A connection closed after this response cannot be cut by the shutdown
-			// while the next request is on its way.
+			// The caller then sends its next request on a new connection, so that the
+			// shutdown does not close a connection while a request is in transit.
 			writer.Header().Set("Connection", "close")
 		}
 		c := &call{ResponseWriter: writer, request: request, started: time.Now()}
