--- a/internal/kvservice/client.go
+++ b/internal/kvservice/client.go
@@ -130,8 +130,8 @@
 	return RequestOp{RequestDeleteRange: &DeleteRangeRequest{Key: []byte(key)}}
 }
 
-// IfModified returns the condition that the key was last modified at the
-// revision.
+// IfModRevision returns the condition that the key was last modified at the
+// revision; 0 means that the key does not exist.
 func IfModified(key string, revision int64) Compare {
 	return Compare{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: &revision}
 }
