--- a/internal/eventreader/reader.go
+++ b/internal/eventreader/reader.go
@@ -40,8 +40,8 @@
 	return &Reader{endpoint: endpoint, positions: map[prefix.Hash]chainPosition{}, needsSnapshot: true}
 }
 
-// LastSequence returns the sequence number of the last event applied; the next
-// poll asks for the events after it.
+// LastSequence returns the sequence number of the last event applied, after which
+// the event stream is reopened.
 func (reader *Reader) LastSequence() uint64 { return reader.sequence }
 
 // SnapshotDue reports whether a snapshot is needed and may be requested now.
--- a/internal/eventreader/reader_test.go
+++ b/internal/eventreader/reader_test.go
@@ -93,8 +93,7 @@
 	require.True(t, reader.SnapshotDue(now.Add(minSnapshotInterval)))
 }
 
-// BenchmarkApplyBatch applies batches of the size that one poll of a busy engine
-// returns.
+// BenchmarkApplyBatch applies batches of the size that a busy engine sends.
 func BenchmarkApplyBatch(b *testing.B) {
 	const batchLength = 50
 	reader := New("engine")
