--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -38,11 +38,11 @@
 	KindQuarantined      Kind = "held_off"
 )
 
-// Outcome states whether the back end ran the request.
+// Outcome states whether the backend ran the request.
 type Outcome string
 
 // The outcomes. NotRun is a guarantee: either no byte of any attempt left this
-// system, or the back end itself reported that it did not start the request.
+// system, or the backend itself reported that it did not start the request.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
