--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -49,8 +49,9 @@
 // IndexUpdateRequest sends cache changes and a load report of one engine to a
 // node that holds an index partition.
 type IndexUpdateRequest struct {
+	// Reader is the peer address of the node that observes the engine.
 	Reader string
-	// Sequence numbers the updates from this reader about this engine to this
+	// Sequence numbers the updates from this node about this engine to this
 	// receiver.
 	Sequence uint64
 	Update   prefixindex.Update
