--- a/internal/lab/experiment/simulation.go
+++ b/internal/lab/experiment/simulation.go
@@ -38,7 +38,7 @@
 	reader   *eventreader.Reader
 	// eventLog holds the events that the reader has not read yet, without lost ones.
 	eventLog []engineapi.CacheEvent
-	// knownLoad is the load last reported by the engine's reader.
+	// reportedLoad is the load last reported by the engine's reader.
 	knownLoad   engineapi.Load
 	knownLoadAt time.Time
 	// inFlight maps request IDs to the requests on the engine.
@@ -64,7 +64,7 @@
 	engines []*simulatedEngine
 	tables  []*endpoint.Table
 	index   *prefixindex.Index
-	// expected records for each node where it recently sent prompts.
+	// speculative records for each node where it recently sent prompts.
 	speculative []*prefixindex.SpeculativeIndex
 	// scheduler annotates candidates for all policies.
 	scheduler   *routing.Scheduler
