--- a/internal/lab/inprocess/engine_test.go
+++ b/internal/lab/inprocess/engine_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, expectedText(prompt, 60), text)
 }
 
-// TestEngineFailureIsSharedWithPeers runs without event readers, as in the first seconds
+// TestEngineFailureIsSharedWithPeers runs without observers, as in the first seconds
 // after a zone fails with its engines and the nodes that watch them. A node that fails to
 // reach an engine must inform its peers.
 func TestEngineFailureIsSharedWithPeers(t *testing.T) {
--- a/internal/lab/inprocess/fleet.go
+++ b/internal/lab/inprocess/fleet.go
@@ -63,7 +63,7 @@
 	PartitionIndex bool
 	// Holders is the number of claim holders; 0 makes all nodes holders.
 	Holders int
-	// NoReaders disables the event readers, so that no node watches the engines.
+	// NoObservers disables the observers, so that no node watches the engines.
 	NoReaders bool
 	// MachineListLag delays changes of the machine list.
 	MachineListLag time.Duration
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// endedNodes describes which nodes have stopped, with their errors.
+// stoppedNodes describes which nodes have stopped, with their errors.
 func (fleet *Fleet) endedNodes() string {
 	description := "stopped nodes:"
 	for index, running := range fleet.Nodes {
--- a/internal/lab/inprocess/index_test.go
+++ b/internal/lab/inprocess/index_test.go
@@ -84,7 +84,7 @@
 			require.Positive(t, send(node, prompt).Details.CachedTokens)
 		}
 	}
-	// The partition of a node that stops is lost; the readers publish its entries again
+	// The partition of a node that stops is lost; the observers publish its entries again
 	// to the new owners.
 	<-fleet.Nodes[2].Shutdown()
 	require.NoError(t, fleet.Await(func() bool {
