--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -76,7 +76,7 @@
 	return addresses
 }
 
-// randomLostAddress returns the address of a random member believed dead or of a
+// randomUnreachableAddress returns the address of a random member believed dead or of a
 // seed that is not a known member, or "" if there is none.
 func (machine *Machine) randomLostAddress() string {
 	lost := []string{}
