--- a/cmd/cloverrail/proxy_test.go
+++ b/cmd/cloverrail/proxy_test.go
@@ -170,7 +170,7 @@
 		"bad deadline": {"/once/", "", with(standin.HeaderDeadline, "soon"), http.StatusBadRequest},
 		"long body":    {"/once/", strings.Repeat("x", 1001), nil, http.StatusRequestEntityTooLarge},
 		"long head":    {"/once/", "", with("X-Long", strings.Repeat("x", 5000)), http.StatusRequestHeaderFieldsTooLarge},
-		"broken prompt": {"/stream/", "", func(request *http.Request) {
+		"malformed prompt": {"/stream/", "", func(request *http.Request) {
 			setPromptHeaders(request)
 			request.Header.Set(standin.HeaderPromptPrefix, "a")
 		}, http.StatusBadRequest},
--- a/internal/node/active_config.go
+++ b/internal/node/active_config.go
@@ -70,7 +70,7 @@
 	snapshot, err := version.Compile()
 	if err != nil {
 		activeConfig.metrics.ConfigurationErrors.Inc()
-		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled")
+		activeConfig.log.Error().Err(err).Int64("revision", version.Revision).Msg("configuration cannot be compiled; the previous one stays active")
 		return false
 	}
 	activeConfig.beforeActivate(snapshot)
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -41,7 +41,7 @@
 // announced that the server is draining or wants no requests for some time.
 func (placement *placement) Send(ctx context.Context, resumes bool, after int64) (*exchange.Reply, error) {
 	if placement.placer.proxy.set.RejectsTraffic(placement.chosen.Endpoint, boottime.Now()) {
-		return nil, &exchange.ErrWithdrawn{Reason: "the server announced that it is leaving or backing off after it was chosen"}
+		return nil, &exchange.ErrWithdrawn{Reason: "the server announced after it was chosen that it is draining or wants no requests for now"}
 	}
 	admitted := placement.placer.admitted
 	dispatch := Dispatch{
