--- a/cmd/cloverrail-lab/streams.go
+++ b/cmd/cloverrail-lab/streams.go
@@ -104,5 +104,5 @@
 			return open, nil
 		}
 	}
-	return 0, errors.Errorf("only %.0f streams were opened", started.Metric(0, "cloverrail_open_streams"))
+	return 0, errors.Errorf("only %.0f of %d streams were opened", started.Metric(0, "cloverrail_open_streams"), count)
 }
--- a/internal/claim/check.go
+++ b/internal/claim/check.go
@@ -14,7 +14,7 @@
 		return nil
 	}
 	if created.After(now.Add(config.ClockSkew)) {
-		return failure.New(failure.KindInvalidRequest, "the idempotency key was created in the future",
+		return failure.New(failure.KindInvalidRequest, "the idempotency key was created "+created.Sub(now).String()+" in the future",
 			"correct the caller's clock, or declare a larger claims.clockSkew")
 	}
 	if now.Sub(created) > config.Window-config.ClockSkew {
--- a/internal/command/declaration.go
+++ b/internal/command/declaration.go
@@ -16,7 +16,7 @@
 
 func fileArgument(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", failure.New(failure.KindInvalidRequest, "exactly one declaration file is required", "run: cloverrail "+command.Name+" FILE")
+		return "", failure.New(failure.KindInvalidRequest, fmt.Sprintf("exactly one declaration file is required, got %d arguments", command.Args().Len()), "run: cloverrail "+command.Name+" FILE")
 	}
 	return command.Args().First(), nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,7 +158,7 @@
 		return failure.New(failure.KindInvalidRequest, "model is missing", "name a model that GET /v1/models lists")
 	}
 	if message.Choices > 1 {
-		return failure.New(failure.KindInvalidRequest, "n is above 1", "send one request for each choice")
+		return failure.New(failure.KindInvalidRequest, "n is "+strconv.Itoa(message.Choices)+", above 1", "send one request for each choice")
 	}
 	class, err := classOf(c)
 	if err != nil {
@@ -209,7 +209,7 @@
 	}
 	key := c.request.Header.Get(headerIdempotencyKey)
 	if len(key) > maxKeyLength {
-		return failure.New(failure.KindInvalidRequest, "the idempotency key is longer than 200 characters", "use a UUID of version 7")
+		return failure.New(failure.KindInvalidRequest, "the idempotency key has "+strconv.Itoa(len(key))+" bytes, more than "+strconv.Itoa(maxKeyLength), "use a UUID of version 7")
 	}
 	class, err := classOf(c)
 	if err != nil {
