--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -414,7 +414,8 @@
 // Guards against a new leader that acted 2.86 s after the previous one, where the handover delay
 // is 3 s: the store was restored again while the new leader still waited for the previous one.
 // It became leader anew and, having been the last leader, skipped the rest of the wait. Here the
-// second leader is elected and the store is restored twice, without further faults.
+// second leader is elected and the store is restored twice, without further faults. Found by
+// TestLeadersActHandoverDelayApartAcrossStoreRestores with seed 2.
 func TestWaitingLeaderKeepsWaitingAfterSecondRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fleet{store: storestub.New(time.Now, nil)}
